--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -170,8 +170,7 @@
 
     /// Asks the platform and peers again at once.
     pub fn refresh_soon(&self) {
-        self.shared
-            .with_member(|member, now| member.refresh_soon(now));
+        self.shared.with_member(|member, now| member.resync(now));
     }
 
     /// Notes how an exchange with a peer ended: passive evidence of its health. Never waits.
--- a/crates/fleet/src/notice.rs
+++ b/crates/fleet/src/notice.rs
@@ -6,7 +6,7 @@
 /// Writes the line of one notice.
 pub(crate) fn log_notice(log: &Logger, notice: &MemberNotice) {
     match notice {
-        MemberNotice::ConfigTaken { revision, source } => {
+        MemberNotice::ConfigApplied { revision, source } => {
             info!(log, "configuration in force";
                 "decision" => DecisionKind::ConfigTaken,
                 "revision" => revision.0, "source" => ?source);
@@ -18,10 +18,10 @@
         MemberNotice::ListRefused(error) => {
             warn!(log, "instance list refused"; "reason" => %error);
         }
-        MemberNotice::ListTaken(revision) => {
+        MemberNotice::ListApplied(revision) => {
             debug!(log, "instance list in force"; "list_revision" => revision.0);
         }
-        MemberNotice::LeavingSeen { agent, leaving } => {
+        MemberNotice::LeavingChanged { agent, leaving } => {
             info!(log, "instance leaving";
                 "decision" => DecisionKind::LeavingSeen,
                 "agent" => %agent, "leaving" => leaving);
@@ -31,7 +31,7 @@
                 "decision" => DecisionKind::SuspicionChanged,
                 "agent" => %agent, "suspected" => suspected);
         }
-        MemberNotice::ZoneChanged { zone, suspected } => {
+        MemberNotice::ZoneSuspicionChanged { zone, suspected } => {
             warn!(log, "suspicion of a zone changed";
                 "decision" => DecisionKind::SuspicionChanged,
                 "lost_zone" => zone.as_str(), "suspected" => suspected);
--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -1,4 +1,4 @@
-//! What a [`FleetMember`](crate::FleetMember) is told at its start and what it wants done.
+//! Settings of a [`FleetMember`](crate::FleetMember), and the actions that it requests.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -13,74 +13,75 @@
 use crate::message::{MemberMessage, PullRequest};
 use crate::view::FleetView;
 
-/// Bytes that a process may send for control each second, over all messages.
-const SEND_RATE: u32 = 2_000;
+/// Control traffic that a process may send, over all messages.
+const SEND_RATE_BYTES_PER_SECOND: u32 = 2_000;
 
-/// Bytes that may be sent at once after a quiet time.
-const SEND_BURST: u32 = 8_000;
+/// Control traffic that may be sent in one burst after an idle period.
+const SEND_BURST_BYTES: u32 = 8_000;
 
-/// What a member of the fleet is.
+/// Settings of one member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberSettings {
-    /// Where its process listens for the others.
-    pub own: AgentAddress,
-    /// Its zone.
+    /// Address of the process's control socket.
+    pub control: AgentAddress,
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// The service of its backend server; `None` for a balancer.
+    /// Service of the backend server; `None` for a balancer.
     pub service: Option<ServiceId>,
-    /// This start of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Where it serves operations.
+    /// Address of the operations endpoint.
     pub operations: SocketAddrV4,
     /// How often a reader reads the instance list.
     pub list_poll: Duration,
-    /// Bytes sent each second at most.
+    /// Maximum send rate in bytes per second.
     pub send_rate: u32,
-    /// Bytes sent at once at most.
+    /// Maximum burst in bytes.
     pub send_burst: u32,
-    /// Time since the Unix epoch at `Moment::ZERO`, so that all draw readers for one epoch.
+    /// Time since the Unix epoch at `Moment::ZERO`, so that all processes agree on the reader
+    /// epoch.
     pub unix_start: Duration,
 }
 
 impl MemberSettings {
-    /// A balancer in a zone.
+    /// Creates the settings of a balancer.
     #[must_use]
-    pub fn new(own: AgentAddress, zone: ZoneName, incarnation: Incarnation) -> Self {
+    pub fn new(control: AgentAddress, zone: ZoneName, incarnation: Incarnation) -> Self {
         Self {
-            own,
+            control,
             zone,
             service: None,
             incarnation,
-            operations: own.0,
+            operations: control.0,
             list_poll: Duration::from_secs(1),
-            send_rate: SEND_RATE,
-            send_burst: SEND_BURST,
+            send_rate: SEND_RATE_BYTES_PER_SECOND,
+            send_burst: SEND_BURST_BYTES,
             unix_start: Duration::ZERO,
         }
     }
 
-    /// An agent of a service.
+    /// Makes these the settings of an agent of `service`.
     #[must_use]
     pub fn with_service(mut self, service: ServiceId) -> Self {
         self.service = Some(service);
         self
     }
 
-    /// Where operations are served.
+    /// Sets the address of the operations endpoint.
     #[must_use]
     pub fn with_operations(mut self, operations: SocketAddrV4) -> Self {
         self.operations = operations;
         self
     }
 
-    /// Another interval between reads of the list.
+    /// Sets the interval between reads of the instance list.
     #[must_use]
     pub fn with_list_poll(mut self, interval: Duration) -> Self {
         self.list_poll = interval;
         self
     }
 
-    /// The time of day at `Moment::ZERO`.
+    /// Sets the time since the Unix epoch at `Moment::ZERO`.
     #[must_use]
     pub fn with_unix_start(mut self, since_unix: Duration) -> Self {
         self.unix_start = since_unix;
@@ -93,77 +94,77 @@
 pub enum PlatformCall {
     /// Read the configuration.
     ReadConfig,
-    /// Wait for a configuration above this revision.
+    /// Wait for a configuration with a revision above this one.
     WatchConfig(ConfigRevision),
     /// Read the instance list.
     ReadInstances,
 }
 
-/// Something worth a log line.
+/// An event that is worth a log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberNotice {
-    /// A configuration is in force.
-    ConfigTaken {
-        /// Its revision.
+    /// Another configuration is in force.
+    ConfigApplied {
+        /// Revision of the configuration.
         revision: ConfigRevision,
-        /// Who it was heard from.
+        /// Where the configuration came from.
         source: ConfigSource,
     },
-    /// A configuration was not taken.
+    /// A configuration was refused; the one in force stays.
     ConfigRefused(ConfigError),
-    /// A list was not taken.
+    /// An instance list was refused; the previous one stays.
     ListRefused(TableError),
-    /// Another list is in force.
-    ListTaken(ListRevision),
-    /// An agent said that it is leaving; `false`: a successor at its address said it is not.
-    LeavingSeen {
-        /// The agent.
+    /// Another instance list is in force.
+    ListApplied(ListRevision),
+    /// An agent announced that it is leaving, or a successor at its address refuted that.
+    LeavingChanged {
+        /// Address of the agent's control socket.
         agent: AgentAddress,
-        /// Whether it is leaving.
+        /// Whether the agent is leaving now.
         leaving: bool,
     },
-    /// An agent is suspected, or no longer.
+    /// An agent became suspected, or is no longer suspected.
     SuspicionChanged {
-        /// The agent.
+        /// Address of the agent's control socket.
         agent: AgentAddress,
-        /// Whether it is suspected now.
+        /// Whether the agent is suspected now.
         suspected: bool,
     },
-    /// A whole zone is suspected, or no longer.
-    ZoneChanged {
-        /// The zone.
+    /// A whole zone became suspected, or is no longer suspected.
+    ZoneSuspicionChanged {
+        /// Name of the zone.
         zone: ZoneName,
-        /// Whether it is suspected now.
+        /// Whether the zone is suspected now.
         suspected: bool,
     },
-    /// This process did not run for a while.
+    /// This process did not run for the given time.
     Paused(Duration),
     /// The process knows enough to serve.
     Ready,
 }
 
-/// What a member wants done.
+/// An action that a member asks its caller to perform.
 #[derive(Clone, Debug)]
 pub enum MemberAction {
     /// Send a datagram.
     Send {
-        /// To whom.
+        /// Control address of the receiver.
         to: AgentAddress,
-        /// What.
+        /// Message to encode and send.
         message: MemberMessage,
     },
-    /// Open a stream, send the request and hand the parts of the answer to
+    /// Open a stream and send the request. Pass the parts of the answer to
     /// [`accept_answer`](crate::FleetMember::accept_answer), or call
     /// [`pull_failed`](crate::FleetMember::pull_failed).
     Pull {
-        /// From whom.
+        /// Control address of the peer.
         from: AgentAddress,
-        /// What to ask.
+        /// Request to send as the first frame.
         request: PullRequest,
     },
-    /// Call the platform and hand the answer in.
+    /// Call the platform and pass the answer to the member.
     Platform(PlatformCall),
-    /// Publish a new view.
+    /// Publish a new view to its readers.
     Publish(Arc<FleetView>),
     /// Write a log line.
     Notice(MemberNotice),
--- a/crates/membership/src/arrival.rs
+++ b/crates/membership/src/arrival.rs
@@ -1,10 +1,10 @@
-//! Agents that announced themselves before the list names them.
+//! Announcements of agents that are not in the list yet.
 //!
-//! What goes wrong without: the list lags. When the targets of a service are replaced one after
-//! the other within that lag, balancers hear of every departure by the agents' own announcement and of
-//! no successor, until no target is left for new flows. It shows as refused flows during a
-//! planned replacement. So a fresh agent announces itself, a few times at most, until it is
-//! listed; an instance that was taken off the list on purpose does not come back by this.
+//! The list lags. When the targets of a service are replaced one after the other within that lag,
+//! balancers learn of every departure from the agents themselves but of no successor, until no
+//! target is left and new flows are refused. A starting agent therefore announces itself, a few
+//! times at most, until it is listed. An instance that was removed from the list on purpose does
+//! not return this way.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -13,79 +13,83 @@
 use lovagelatch_domain::{AgentAddress, InstanceState, Moment, TargetId};
 use siphasher::sip::SipHasher13;
 
-use crate::list::{InstanceDuty, ListedInstance};
+use crate::list::{InstanceRole, ListedInstance};
 use crate::message::ArrivalEvent;
 
-/// How long an announcement holds. Longer than the list lags.
-pub(crate) const ARRIVAL_LIFETIME: Duration = Duration::from_secs(60);
+/// How long an announcement holds: longer than the list lags.
+pub(crate) const ARRIVAL_TTL: Duration = Duration::from_secs(60);
 
-/// Time between two announcements.
+/// Interval between two announcements.
 pub(crate) const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Announcements of one start at most.
+/// Maximum announcements of one incarnation.
 pub(crate) const MAX_ANNOUNCEMENTS: u8 = 3;
 
-/// An announcement this old is passed on again when it is repeated.
-const FRESH_LIMIT: Duration = Duration::from_secs(10);
+/// A repeated announcement is not relayed again within this window.
+const RELAY_SUPPRESSION_WINDOW: Duration = Duration::from_secs(10);
 
-/// Announcements that are held at most; further ones wait for the list.
+/// Upper bound of tracked announcements; agents beyond it are known only once they are listed.
 const MAX_ARRIVALS: usize = 8_192;
 
-/// Numbers of announced targets have this bit, so that they differ from the platform's.
+/// Set in the ids of announced targets, so that they differ from ids of the platform.
 const ANNOUNCED_BIT: u32 = 1 << 31;
 
 #[derive(Clone, Copy, Debug)]
 struct ArrivalEntry {
     event: ArrivalEvent,
-    heard: Moment,
+    received_at: Moment,
 }
 
-/// The announcements that a process knows of.
+/// Tracks known announcements.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ArrivalTracker {
     entries: BTreeMap<AgentAddress, ArrivalEntry>,
 }
 
 impl ArrivalTracker {
-    /// Notes an announcement; whether it is worth passing on.
-    pub(crate) fn note(&mut self, event: ArrivalEvent, now: Moment) -> bool {
+    /// Records an announcement; returns whether it is worth relaying.
+    pub(crate) fn record(&mut self, event: ArrivalEvent, now: Moment) -> bool {
         let held = self.entries.get(&event.agent);
-        let known =
-            held.is_some_and(|held| held.event == event && now.since(held.heard) < FRESH_LIMIT);
+        let is_repeat = held.is_some_and(|held| {
+            held.event == event && now.since(held.received_at) < RELAY_SUPPRESSION_WINDOW
+        });
         let full = held.is_none() && self.entries.len() >= MAX_ARRIVALS;
-        if known || full {
+        if is_repeat || full {
             return false;
         }
-        let entry = ArrivalEntry { event, heard: now };
+        let entry = ArrivalEntry {
+            event,
+            received_at: now,
+        };
         self.entries.insert(event.agent, entry);
         true
     }
 
-    /// The announced instance at an address, as the list would hold it.
+    /// Returns the announced instance at an address, as a list row.
     pub(crate) fn at(&self, agent: AgentAddress) -> Option<ListedInstance> {
         self.entries.get(&agent).map(|entry| row_of(&entry.event))
     }
 
-    /// All announcements.
+    /// Returns all announcements, to answer a pull.
     pub(crate) fn events(&self) -> Vec<ArrivalEvent> {
         self.entries.values().map(|entry| entry.event).collect()
     }
 
-    /// The announced instances, as the list would hold them.
+    /// Returns the announced instances, as list rows.
     pub(crate) fn rows(&self) -> impl Iterator<Item = ListedInstance> + '_ {
         self.entries.values().map(|entry| row_of(&entry.event))
     }
 
-    /// Forgets an announcement and returns its instance.
+    /// Removes an announcement and returns its instance.
     pub(crate) fn remove(&mut self, agent: AgentAddress) -> Option<ListedInstance> {
         let entry = self.entries.remove(&agent)?;
         Some(row_of(&entry.event))
     }
 
-    /// The agents whose announcements are too old.
+    /// Returns the agents whose announcements have expired.
     pub(crate) fn expired(&self, now: Moment) -> Vec<AgentAddress> {
-        let old = |entry: &ArrivalEntry| now.since(entry.heard) >= ARRIVAL_LIFETIME;
-        let entries = self.entries.iter().filter(|(_, entry)| old(entry));
+        let expired = |entry: &ArrivalEntry| now.since(entry.received_at) >= ARRIVAL_TTL;
+        let entries = self.entries.iter().filter(|(_, entry)| expired(entry));
         entries.map(|(&agent, _)| agent).collect()
     }
 }
@@ -96,7 +100,7 @@
         operations: event.operations,
         zone: event.zone,
         state: InstanceState::Live,
-        duty: InstanceDuty::Target {
+        role: InstanceRole::Target {
             id: announced_id(event.agent),
             service: event.service,
             slots: event.slots.max(1),
--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,20 +1,20 @@
-//! How many bytes a process may still send for control.
+//! The send budget for control traffic.
 
 use std::time::Duration;
 
 use lovagelatch_domain::Moment;
 
-/// Bytes that IP and UDP put before a datagram, counted as sent.
+/// IP and UDP header bytes of a datagram, counted as sent.
 pub const PACKET_OVERHEAD_BYTES: usize = 28;
 
-/// Why bytes are sent, most urgent first.
+/// Priority of a send, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum SendUrgency {
-    /// Heads after a change, and pulls: a configuration spreads by them.
+pub enum SendPriority {
+    /// Heads after a change, and pulls: they spread configurations.
     Change,
-    /// Heartbeats.
+    /// Heartbeats and probes.
     Heartbeat,
-    /// The regular heads.
+    /// Regular heads.
     Regular,
 }
 
@@ -23,13 +23,14 @@
 pub struct SendBudget {
     rate: f64,
     burst: f64,
-    /// May fall below zero, by half a burst, for the most urgent; the others then wait.
+    /// May go negative, down to minus half a burst, for the highest priority; other sends then
+    /// wait.
     tokens: f64,
     filled: Moment,
 }
 
 impl SendBudget {
-    /// A full bucket of `burst` bytes that refills with `rate` bytes a second.
+    /// Creates a full bucket of `burst` bytes that refills at `rate` bytes per second.
     #[must_use]
     pub fn new(rate: u32, burst: u32, now: Moment) -> Self {
         Self {
@@ -40,16 +41,17 @@
         }
     }
 
-    /// Takes `bytes`, unless that would leave too little for what is more urgent.
-    pub fn try_spend(&mut self, bytes: usize, urgency: SendUrgency, now: Moment) -> bool {
+    /// Takes `bytes` unless that would use the reserve for higher priorities; returns whether they
+    /// were taken.
+    pub fn try_spend(&mut self, bytes: usize, priority: SendPriority, now: Moment) -> bool {
         self.refill(now.since(self.filled));
         self.filled = self.filled.max(now);
         #[allow(clippy::cast_precision_loss)]
         let left = self.tokens - bytes as f64;
-        let floor = match urgency {
-            SendUrgency::Change => -self.burst / 2.0,
-            SendUrgency::Heartbeat => 0.0,
-            SendUrgency::Regular => self.burst / 4.0,
+        let floor = match priority {
+            SendPriority::Change => -self.burst / 2.0,
+            SendPriority::Heartbeat => 0.0,
+            SendPriority::Regular => self.burst / 4.0,
         };
         if left < floor {
             return false;
@@ -58,14 +60,14 @@
         true
     }
 
-    /// Whether only the most urgent may still send.
+    /// Returns whether only sends of the highest priority are still allowed.
     pub fn is_exhausted(&mut self, now: Moment) -> bool {
-        !self.try_spend(0, SendUrgency::Heartbeat, now)
+        !self.try_spend(0, SendPriority::Heartbeat, now)
     }
 
-    /// Takes `bytes` that are sent in any case; less urgent sends wait for them.
+    /// Takes `bytes` that are sent in any case; sends of lower priority wait for the refill.
     pub fn spend(&mut self, bytes: usize, now: Moment) {
-        if !self.try_spend(bytes, SendUrgency::Change, now) {
+        if !self.try_spend(bytes, SendPriority::Change, now) {
             self.tokens = -self.burst / 2.0;
         }
     }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and which offers of another are taken.
+//! The configuration in force, and the rules by which another replaces it.
 
 use std::sync::Arc;
 
@@ -18,135 +18,135 @@
     }
 }
 
-/// What changed in the configuration, service by service.
+/// A delta of the configuration, with one row per service.
 pub type ConfigDelta = TableDelta<ServiceName, ServiceEntry>;
 
-/// Who a configuration was heard from.
+/// Source of a configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigSource {
-    /// Nobody yet.
+    /// No configuration is known yet.
     #[default]
     Nobody,
-    /// The platform.
+    /// Read from the platform.
     Platform,
-    /// Another process of the fleet.
+    /// Pulled from another process of the fleet.
     Peer,
 }
 
-/// Why an offered configuration was not taken. The one in force stays.
+/// Why an offered configuration was refused. The one in force stays.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// Its revision is lower than the one in force: whoever offers it read something stale.
-    #[error("revision {offered} is below {held}, which is in force")]
+    /// Its revision is lower than the one in force: the source is stale.
+    #[error("revision {offered} is lower than revision {held} in force")]
     Lower {
-        /// The revision offered.
+        /// Revision of the offered configuration.
         offered: u64,
-        /// The revision in force.
+        /// Revision in force.
         held: u64,
     },
-    /// Its text has faults.
-    #[error("revision {revision}: {faults}")]
+    /// Its text is invalid.
+    #[error("revision {revision} is invalid: {faults}")]
     Invalid {
-        /// Its revision.
+        /// Revision of the offered configuration.
         revision: u64,
-        /// The faults.
+        /// Faults of the text.
         faults: FaultList<TextFault>,
     },
-    /// It has the revision in force, or a refused one, but another content.
-    #[error("revision {revision} is known with another content")]
+    /// Its revision is already known, but with different content.
+    #[error("revision {revision} is already known with different content")]
     Conflict {
-        /// The revision.
+        /// Revision of both configurations.
         revision: u64,
     },
-    /// A delta did not fit.
+    /// Its delta could not be applied.
     #[error(transparent)]
     Delta(#[from] TableError),
 }
 
-/// What became of an offer that was not wrong.
+/// Effect of an offered configuration that was not refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ConfigVerdict {
-    /// It is in force now; these services changed.
-    Taken(Vec<RowChange<ServiceEntry>>),
-    /// It was known already.
-    Known,
+pub enum ConfigOutcome {
+    /// It is in force now; holds the services that changed.
+    Applied(Vec<RowChange<ServiceEntry>>),
+    /// It was already known.
+    Unchanged,
 }
 
-/// Keeps the highest accepted configuration.
+/// Holds the accepted configuration with the highest revision.
 ///
-/// Invariant: the revision in force never falls.
+/// Invariant: the revision in force never decreases.
 #[derive(Clone, Debug, Default)]
-pub struct ConfigKeeper {
+pub struct ConfigTable {
     index: TableIndex<ServiceName>,
-    /// Invariant: services sorted by name, all line numbers 0, so that equal configurations
-    /// are equal everywhere, whatever the layout of the text they came from.
+    /// Invariant: services sorted by name, all line numbers 0, so that equal configurations are
+    /// equal in every process, whatever the layout of their source text.
     text: Arc<ServiceText>,
     source: ConfigSource,
-    /// The highest revision whose text has faults; it is not fetched again.
+    /// Highest revision with an invalid text; it is not fetched again.
     refused: u64,
 }
 
-impl ConfigKeeper {
-    /// The state in force.
+impl ConfigTable {
+    /// Returns the revision and digest in force.
     #[must_use]
     pub fn head(&self) -> TableHead {
         self.index.head()
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     #[must_use]
     pub fn revision(&self) -> ConfigRevision {
         ConfigRevision(self.head().revision)
     }
 
-    /// The highest revision this process has judged, accepted or not: a watch waits for the
-    /// next.
+    /// Returns the highest revision that this process has evaluated, whether accepted or refused: a
+    /// watch waits for a higher one.
     #[must_use]
-    pub fn judged(&self) -> ConfigRevision {
+    pub fn evaluated(&self) -> ConfigRevision {
         ConfigRevision(self.head().revision.max(self.refused))
     }
 
-    /// The highest revision that was refused for its faults; 0 for none.
+    /// Returns the highest revision refused as invalid; 0 for none.
     #[must_use]
     pub fn refused(&self) -> ConfigRevision {
         ConfigRevision(self.refused)
     }
 
-    /// Who the configuration in force came from.
+    /// Returns the source of the configuration in force.
     #[must_use]
     pub fn source(&self) -> ConfigSource {
         self.source
     }
 
-    /// The text in force.
+    /// Returns the text in force.
     #[must_use]
     pub fn text(&self) -> &Arc<ServiceText> {
         &self.text
     }
 
-    /// What changed after `revision`.
+    /// Returns the changes after `revision`.
     #[must_use]
     pub fn delta_since(&self, revision: u64) -> ConfigDelta {
         self.index.delta_since(&self.text.services, revision)
     }
 
-    /// Judges what the platform answered.
+    /// Evaluates a configuration from the platform and applies it if accepted.
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] when it was not taken.
+    /// Returns a [`ConfigError`] if the configuration was refused.
     pub fn offer_text(
         &mut self,
         revision: ConfigRevision,
         text: &str,
-    ) -> Result<ConfigVerdict, ConfigError> {
+    ) -> Result<ConfigOutcome, ConfigError> {
         let (offered, held) = (revision.0, self.head().revision);
         if offered < held {
             return Err(ConfigError::Lower { offered, held });
         }
         if offered == self.refused {
-            return Ok(ConfigVerdict::Known);
+            return Ok(ConfigOutcome::Unchanged);
         }
         let parsed = ServiceText::parse(text).map_err(|faults| {
             self.refused = self.refused.max(offered);
@@ -159,26 +159,27 @@
         let delta = self.index.delta_to(&self.text.services, rows, offered);
         if offered == held && delta.to.digest == self.head().digest {
             self.source = ConfigSource::Platform;
-            return Ok(ConfigVerdict::Known);
+            return Ok(ConfigOutcome::Unchanged);
         }
-        // Two contents under one revision: the platform's answer replaces a peer's, but never
-        // the platform's own earlier word, or two of its replicas could flip a fleet for ever.
+        // Two contents under one revision: an answer of the platform replaces a peer's content, but
+        // not an earlier answer of the platform. Otherwise two of its replicas could make a fleet
+        // alternate between them forever.
         if offered == held && self.source == ConfigSource::Platform {
             return Err(ConfigError::Conflict { revision: offered });
         }
-        self.take(delta, ConfigSource::Platform)
+        self.apply(delta, ConfigSource::Platform)
     }
 
-    /// Judges what a peer sent.
+    /// Evaluates a delta from a peer and applies it if accepted.
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] when it was not taken.
-    pub fn offer_delta(&mut self, delta: ConfigDelta) -> Result<ConfigVerdict, ConfigError> {
+    /// Returns a [`ConfigError`] if the delta was refused.
+    pub fn offer_delta(&mut self, delta: ConfigDelta) -> Result<ConfigOutcome, ConfigError> {
         let held = self.head();
         self.check_head(delta.to)?;
         if delta.to == held {
-            return Ok(ConfigVerdict::Known);
+            return Ok(ConfigOutcome::Unchanged);
         }
         if delta.to.revision < held.revision {
             return Err(ConfigError::Lower {
@@ -186,14 +187,14 @@
                 held: held.revision,
             });
         }
-        self.take(delta, ConfigSource::Peer)
+        self.apply(delta, ConfigSource::Peer)
     }
 
-    /// Compares a peer's head with the own.
+    /// Compares a peer's head with the one in force.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::Conflict`] when the revision is the same and the content is not.
+    /// Returns [`ConfigError::Conflict`] if the revisions are equal but the contents differ.
     pub fn check_head(&self, head: TableHead) -> Result<(), ConfigError> {
         let held = self.head();
         if head.revision == held.revision && head.digest != held.digest {
@@ -204,18 +205,18 @@
         Ok(())
     }
 
-    fn take(
+    fn apply(
         &mut self,
         delta: ConfigDelta,
         source: ConfigSource,
-    ) -> Result<ConfigVerdict, ConfigError> {
+    ) -> Result<ConfigOutcome, ConfigError> {
         let text = Arc::make_mut(&mut self.text);
         let changes = match source {
-            ConfigSource::Platform => self.index.force(&mut text.services, delta)?,
+            ConfigSource::Platform => self.index.apply_authoritative(&mut text.services, delta)?,
             _ => self.index.apply(&mut text.services, delta)?,
         };
         self.source = source;
-        Ok(ConfigVerdict::Taken(changes))
+        Ok(ConfigOutcome::Applied(changes))
     }
 }
 
--- a/crates/membership/src/delta.rs
+++ b/crates/membership/src/delta.rs
@@ -1,4 +1,4 @@
-//! Rows, what changed between two states of a table, and helpers over sorted rows.
+//! Table rows, deltas between two states of a table, and helpers over sorted rows.
 
 use std::hash::Hasher;
 
@@ -6,45 +6,46 @@
 use siphasher::sip::SipHasher13;
 use thiserror::Error;
 
-/// Fixed keys of the row hash: every process must compute the same digest.
+/// Fixed keys of the row hash, because every process must compute the same digest.
 const ROW_HASH_KEYS: (u64, u64) = (0x7461_626c, 0x726f_7773);
 
-/// A row of a [`TableIndex`](crate::TableIndex)'s table.
+/// A row of a table with a [`TableIndex`](crate::TableIndex).
 pub trait TableRow: Serialize + Clone + PartialEq {
-    /// What identifies the row.
+    /// Key that identifies the row within its table.
     type Key: Ord + Clone;
 
-    /// The row's key.
+    /// Returns the key of the row.
     fn key(&self) -> Self::Key;
 }
 
-/// Which state of a table a process holds: small enough to travel every second.
+/// Identifies a state of a table; small enough to be sent every second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TableHead {
-    /// The revision; 0 before any is known.
+    /// Revision of the table; 0 before any is known.
     pub revision: u64,
-    /// The sum of the rows' hashes.
+    /// Wrapping sum of the row hashes.
     pub digest: u64,
 }
 
-/// What changed after one revision of a table, or the whole of it.
+/// The changes after one revision of a table, or the whole table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableDelta<K, V> {
-    /// The state it starts from: `None` for the whole table.
+    /// Revision that the delta applies to; `None` for the whole table.
     pub from: Option<u64>,
-    /// The state it leads to.
+    /// State after the delta is applied.
     pub to: TableHead,
-    /// The oldest revision after which removals are known.
+    /// Oldest revision after which all removals are known.
     pub floor: u64,
-    /// New and changed rows with their stamps.
+    /// New and changed rows with the revisions of their last change.
     pub changed: Vec<(u64, V)>,
     /// Keys of removed rows with the revisions of their removal.
     pub removed: Vec<(u64, K)>,
 }
 
 impl<K, V> TableDelta<K, V> {
-    /// Adds a part that was split off; a part of another delta replaces what was joined.
-    pub(crate) fn join(&mut self, part: Self) {
+    /// Appends a part of the same delta; a part of another delta replaces the parts collected so
+    /// far.
+    pub(crate) fn append(&mut self, part: Self) {
         if self.to == part.to && self.from == part.from {
             self.changed.extend(part.changed);
             self.removed.extend(part.removed);
@@ -54,44 +55,44 @@
     }
 }
 
-/// One row's change: before and after.
+/// Change of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowChange<V> {
-    /// The row before; `None` when it is new.
+    /// Row before the change; `None` if it is new.
     pub old: Option<V>,
-    /// The row after; `None` when it was removed.
+    /// Row after the change; `None` if it was removed.
     pub new: Option<V>,
 }
 
-/// Why a delta was not applied. The table is as before.
+/// Why a delta was refused. The table is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// It leads to a revision that is not above the one held.
-    #[error("revision {offered} is not above {held}")]
+    /// It leads to a revision that is not higher than the one held.
+    #[error("revision {offered} is not higher than revision {held} held")]
     NotNewer {
-        /// The revision offered.
+        /// Revision that the delta leads to.
         offered: u64,
-        /// The revision held.
+        /// Revision held.
         held: u64,
     },
-    /// It starts after the revision held.
-    #[error("delta from revision {from} does not fit revision {held}")]
+    /// It starts at a revision after the one held.
+    #[error("delta starts at revision {from}, after revision {held} held")]
     Gap {
-        /// Where it starts.
+        /// Revision at which the delta starts.
         from: u64,
-        /// The revision held.
+        /// Revision held.
         held: u64,
     },
-    /// The result would not have the digest that it promises.
-    #[error("delta to revision {revision} gives another digest")]
+    /// The digest of the result differs from the one in the delta.
+    #[error("digest mismatch after delta to revision {revision}")]
     WrongDigest {
-        /// The revision it leads to.
+        /// Revision that the delta leads to.
         revision: u64,
     },
 }
 
-/// Makes each key occur once: a row that is there after the delta was not removed by it.
-pub(crate) fn without_doubles<K: Ord + Clone, V: TableRow<Key = K>>(
+/// Makes every key occur once. A key that is both changed and removed counts as changed.
+pub(crate) fn without_duplicates<K: Ord + Clone, V: TableRow<Key = K>>(
     mut delta: TableDelta<K, V>,
 ) -> TableDelta<K, V> {
     delta.changed.sort_by_key(|(_, row)| row.key());
@@ -106,8 +107,8 @@
     delta
 }
 
-/// The changes that a delta without doubles brings.
-pub(crate) fn plan<K: Ord + Clone, V: TableRow<Key = K>>(
+/// Returns the row changes that a delta without duplicates makes.
+pub(crate) fn planned_changes<K: Ord + Clone, V: TableRow<Key = K>>(
     rows: &[V],
     delta: &TableDelta<K, V>,
 ) -> Vec<RowChange<V>> {
@@ -130,18 +131,18 @@
     changes
 }
 
-/// The differences between two sorted tables.
-pub(crate) fn compare<V: TableRow>(old: &[V], new: &[V]) -> Vec<RowChange<V>> {
+/// Returns the differences between two sorted tables.
+pub(crate) fn diff_rows<V: TableRow>(old: &[V], new: &[V]) -> Vec<RowChange<V>> {
     let mut changes = Vec::new();
     let mut old = old.iter().peekable();
-    let gone = |row: &V| RowChange {
+    let removal = |row: &V| RowChange {
         old: Some(row.clone()),
         new: None,
     };
     for row in new {
         let key = row.key();
         while let Some(before) = old.next_if(|candidate| candidate.key() < key) {
-            changes.push(gone(before));
+            changes.push(removal(before));
         }
         let before = old.next_if(|candidate| candidate.key() == key);
         if before != Some(row) {
@@ -151,7 +152,7 @@
             });
         }
     }
-    changes.extend(old.map(gone));
+    changes.extend(old.map(removal));
     changes
 }
 
--- a/crates/membership/src/departure.rs
+++ b/crates/membership/src/departure.rs
@@ -1,4 +1,4 @@
-//! Which processes said themselves that they are leaving, long before the list says so.
+//! Departures: processes that announced that they are leaving, long before the list shows it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,64 +7,64 @@
 
 use crate::message::DepartureEvent;
 
-/// How long a departure is remembered: longer than the list lags and a drain lasts.
-const DEPARTURE_LIFETIME: Duration = Duration::from_secs(900);
+/// How long a departure is kept: longer than the list lags and a drain takes.
+const DEPARTURE_TTL: Duration = Duration::from_secs(900);
 
-/// Departures that are held at most; beyond, the oldest is forgotten.
+/// Upper bound of tracked departures; beyond it, the oldest is evicted.
 const MAX_DEPARTURES: usize = 8_192;
 
 #[derive(Clone, Copy, Debug)]
 struct DepartureEntry {
     refuted: bool,
-    heard: Moment,
+    received_at: Moment,
 }
 
-/// The departures that a process knows of.
+/// Tracks known departures.
 ///
-/// They outlive the instance's place in the list, so that late word of a departure is known
-/// for what it is and does not spread a second time.
+/// They are kept after the instance is removed from the list, so that a late copy of a departure is
+/// recognized and not spread again.
 #[derive(Clone, Debug, Default)]
 pub struct DepartureTracker {
     entries: BTreeMap<(AgentAddress, Incarnation), DepartureEntry>,
 }
 
 impl DepartureTracker {
-    /// Notes a departure; whether that was news.
-    pub fn note(&mut self, event: DepartureEvent, now: Moment) -> bool {
+    /// Records a departure or its refutation; returns whether it is new.
+    pub fn record(&mut self, event: DepartureEvent, now: Moment) -> bool {
         let key = (event.agent, event.incarnation);
-        let held = self.entries.get(&key).map(|entry| entry.refuted);
-        if held.is_some_and(|refuted| refuted || !event.refuted) {
+        let known_refuted = self.entries.get(&key).map(|entry| entry.refuted);
+        if known_refuted.is_some_and(|refuted| refuted || !event.refuted) {
             return false;
         }
-        if held.is_none() && self.entries.len() >= MAX_DEPARTURES {
-            self.forget_oldest();
+        if known_refuted.is_none() && self.entries.len() >= MAX_DEPARTURES {
+            self.evict_oldest();
         }
         let entry = DepartureEntry {
             refuted: event.refuted,
-            heard: now,
+            received_at: now,
         };
         self.entries.insert(key, entry);
         true
     }
 
-    /// Whether the process at an address is leaving, as far as is known.
+    /// Returns whether the process at an address is known to be leaving.
     #[must_use]
     pub fn is_leaving(&self, agent: AgentAddress) -> bool {
-        self.starts_of(agent).any(|(_, refuted)| !refuted)
+        self.incarnations_of(agent).any(|(_, refuted)| !refuted)
     }
 
-    /// The starts at an address that are said to be leaving, other than `current`.
-    pub fn other_starts(
+    /// Returns the leaving incarnations at an address other than `current`.
+    pub fn other_incarnations(
         &self,
         agent: AgentAddress,
         current: Incarnation,
     ) -> impl Iterator<Item = Incarnation> + '_ {
-        let live = self.starts_of(agent).filter(|&(_, refuted)| !refuted);
-        live.map(|(start, _)| start)
-            .filter(move |&start| start != current)
+        let live = self.incarnations_of(agent).filter(|&(_, refuted)| !refuted);
+        live.map(|(incarnation, _)| incarnation)
+            .filter(move |&incarnation| incarnation != current)
     }
 
-    /// All departures, for a peer that lacks some.
+    /// Returns all departures, to answer a pull.
     #[must_use]
     pub fn events(&self) -> Vec<DepartureEvent> {
         let events = self
@@ -78,19 +78,19 @@
         events.collect()
     }
 
-    /// The agents that are leaving.
+    /// Returns the agents that are leaving.
     pub fn leaving(&self) -> impl Iterator<Item = AgentAddress> + '_ {
         let live = self.entries.iter().filter(|(_, entry)| !entry.refuted);
         live.map(|(&(agent, _), _)| agent)
     }
 
-    /// Forgets what is too old, and returns those agents.
+    /// Removes expired departures and returns their agents.
     pub fn expire(&mut self, now: Moment) -> Vec<AgentAddress> {
-        let old = |entry: &DepartureEntry| now.since(entry.heard) >= DEPARTURE_LIFETIME;
+        let expired = |entry: &DepartureEntry| now.since(entry.received_at) >= DEPARTURE_TTL;
         let keys: Vec<_> = self
             .entries
             .iter()
-            .filter(|(_, entry)| old(entry))
+            .filter(|(_, entry)| expired(entry))
             .map(|(&key, _)| key)
             .collect();
         for key in &keys {
@@ -99,14 +99,20 @@
         keys.into_iter().map(|(agent, _)| agent).collect()
     }
 
-    fn starts_of(&self, agent: AgentAddress) -> impl Iterator<Item = (Incarnation, bool)> + '_ {
+    fn incarnations_of(
+        &self,
+        agent: AgentAddress,
+    ) -> impl Iterator<Item = (Incarnation, bool)> + '_ {
         let range = (agent, Incarnation(0))..=(agent, Incarnation(u64::MAX));
-        let starts = self.entries.range(range);
-        starts.map(|(&(_, start), entry)| (start, entry.refuted))
+        let incarnations = self.entries.range(range);
+        incarnations.map(|(&(_, incarnation), entry)| (incarnation, entry.refuted))
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.heard);
+    fn evict_oldest(&mut self) {
+        let oldest = self
+            .entries
+            .iter()
+            .min_by_key(|(_, entry)| entry.received_at);
         if let Some((&key, _)) = oldest {
             self.entries.remove(&key);
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,14 @@
-//! What a process knows of the fleet, and how that knowledge spreads.
+//! Fleet membership: what a process knows of the fleet, and how that knowledge spreads.
 //!
-//! This library decides; it reads no clock, opens no socket and starts no thread. Messages and
-//! the time come in, messages to send and changes of the view come out.
+//! This crate contains only the protocol logic: it reads no clock, opens no socket and starts no
+//! thread. Its inputs are messages and the current time; its outputs are messages to send and
+//! changes of the view.
 //!
 //! ```text
-//! platform --(few readers, drawn by lot)--> process <--heads, pulls--> process
-//!                                             |  heartbeats among ~6 agents of one service
-//!                                             v
-//!                                         FleetView
+//! platform --(a few elected readers)--> process <--heads, pulls--> process
+//!                                          |  heartbeats among ~6 agents of one service
+//!                                          v
+//!                                      FleetView
 //! ```
 
 mod action;
@@ -16,8 +17,8 @@
 mod config;
 mod delta;
 mod departure;
+mod election;
 mod list;
-mod lot;
 mod member;
 mod message;
 mod neighbour;
@@ -29,22 +30,21 @@
 mod view;
 
 pub use action::{MemberAction, MemberNotice, MemberSettings, PlatformCall};
-pub use budget::{PACKET_OVERHEAD_BYTES, SendBudget, SendUrgency};
-pub use config::{ConfigDelta, ConfigError, ConfigKeeper, ConfigSource, ConfigVerdict};
+pub use budget::{PACKET_OVERHEAD_BYTES, SendBudget, SendPriority};
+pub use config::{ConfigDelta, ConfigError, ConfigOutcome, ConfigSource, ConfigTable};
 pub use delta::{RowChange, TableDelta, TableError, TableHead, TableRow};
 pub use departure::DepartureTracker;
-pub use list::{InstanceDuty, InstanceKey, ListDelta, ListKeeper, ListedInstance, ZoneId};
-pub use lot::{LOT_EPOCH, READERS_PER_ZONE, epoch_at, is_reader};
-pub use member::{FleetMember, FleetStatus, LaggingPeer, MEMBER_TICK, PAUSE_LIMIT};
+pub use election::{READER_EPOCH, READERS_PER_ZONE, epoch_at, is_reader};
+pub use list::{InstanceKey, InstanceRole, InstanceTable, ListDelta, ListedInstance, ZoneId};
+pub use member::{FleetMember, FleetStatus, LaggingPeer, MEMBER_TICK, PAUSE_THRESHOLD};
 pub use message::{
     AccusationEvent, AccusedSubject, ArrivalEvent, DepartureEvent, GossipHead, MemberEvent,
     MemberMessage, PeerHeartbeat, PullPart, PullRequest,
 };
-pub use neighbour::{DueWord, NeighbourWatch, SILENCE_LIMIT};
+pub use neighbour::{DueAccusation, NeighbourMonitor, SILENCE_TIMEOUT};
 pub use ring::ring_neighbours;
 pub use suspicion::{
-    ACCUSATION_LIFETIME, ACCUSERS_NEEDED, AccusationTracker, AccusationVerdict,
-    ZONE_ACCUSERS_NEEDED,
+    ACCUSATION_TTL, AccusationOutcome, AccusationTracker, MIN_ACCUSERS, MIN_ZONE_ACCUSERS,
 };
 pub use table::TableIndex;
 pub use view::{FleetView, TargetStanding, ViewTarget};
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's instance list, held compactly and exchanged by its changes.
+//! The instance list, in a compact form that is exchanged as deltas.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -14,7 +14,7 @@
 use crate::delta::{RowChange, TableDelta, TableError, TableHead, TableRow};
 use crate::table::TableIndex;
 
-/// A short number for a zone, a hash of its name.
+/// A short zone id, derived from a hash of the zone name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,7 +22,7 @@
 pub struct ZoneId(pub u32);
 
 impl ZoneId {
-    /// The number of a zone.
+    /// Computes the id of a zone.
     #[must_use]
     pub fn new(zone: &ZoneName) -> Self {
         let mut hasher = SipHasher13::new_with_keys(0x7a, 0x6f);
@@ -32,44 +32,45 @@
     }
 }
 
-/// What an instance runs.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum InstanceDuty {
+pub enum InstanceRole {
     /// An agent beside a backend server.
     Target {
-        /// The platform's number for it.
+        /// Id that the platform assigned.
         id: TargetId,
-        /// The service it serves.
+        /// Service of the backend server.
         service: ServiceId,
-        /// Its slots.
+        /// Number of slots.
         slots: u16,
     },
     /// A balancer.
     Balancer,
 }
 
-/// One instance as the list holds it: 36 bytes, without names.
+/// One row of the list: 36 bytes, without names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Where its process listens for the others.
+    /// Address of the process's control socket.
     pub control: AgentAddress,
-    /// Where it serves operations.
+    /// Address of the operations endpoint.
     pub operations: SocketAddrV4,
-    /// Its zone.
+    /// Id of the availability zone.
     pub zone: ZoneId,
-    /// Whether it takes new work.
+    /// Whether the instance accepts new work.
     pub state: InstanceState,
-    /// What it runs.
-    pub duty: InstanceDuty,
+    /// Role of the instance.
+    #[serde(rename = "duty")]
+    pub role: InstanceRole,
 }
 
-/// Identifies an instance in the list. Two targets may name one address while one replaces
-/// the other, so the platform's number is part of it.
+/// Key of an instance in the list. Two targets may share an address while one replaces the other,
+/// so the key includes the target id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceKey {
-    /// Where its process listens.
+    /// Address of the process's control socket.
     pub control: AgentAddress,
-    /// The target's number; `None` for a balancer.
+    /// Target id; `None` for a balancer.
     pub target: Option<TargetId>,
 }
 
@@ -77,9 +78,9 @@
     type Key = InstanceKey;
 
     fn key(&self) -> InstanceKey {
-        let target = match self.duty {
-            InstanceDuty::Target { id, .. } => Some(id),
-            InstanceDuty::Balancer => None,
+        let target = match self.role {
+            InstanceRole::Target { id, .. } => Some(id),
+            InstanceRole::Balancer => None,
         };
         InstanceKey {
             control: self.control,
@@ -88,50 +89,50 @@
     }
 }
 
-/// What changed in the list, with the names of the zones that the changed rows speak of.
+/// A delta of the list, with the names of the zones that its changed rows refer to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDelta {
-    /// The rows.
+    /// Changed and removed rows.
     pub table: TableDelta<InstanceKey, ListedInstance>,
-    /// The zones' names.
+    /// Names of the zones of the changed rows.
     pub zones: SmallVec<[ZoneName; 2]>,
 }
 
-/// Keeps the newest instance list.
+/// Holds the newest instance list.
 #[derive(Clone, Debug, Default)]
-pub struct ListKeeper {
+pub struct InstanceTable {
     index: TableIndex<InstanceKey>,
     /// Invariant: sorted by key.
     rows: Vec<ListedInstance>,
     zones: BTreeMap<ZoneId, ZoneName>,
 }
 
-impl ListKeeper {
-    /// The state held.
+impl InstanceTable {
+    /// Returns the revision and digest of the list.
     #[must_use]
     pub fn head(&self) -> TableHead {
         self.index.head()
     }
 
-    /// The revision held.
+    /// Returns the revision of the list.
     #[must_use]
     pub fn revision(&self) -> ListRevision {
         ListRevision(self.head().revision)
     }
 
-    /// All instances, sorted by address.
+    /// Returns all instances, sorted by address.
     #[must_use]
     pub fn rows(&self) -> &[ListedInstance] {
         &self.rows
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone, if a listed row has referred to it.
     #[must_use]
     pub fn zone(&self, id: ZoneId) -> Option<&ZoneName> {
         self.zones.get(&id)
     }
 
-    /// The instances whose process listens on `control`.
+    /// Returns the instances with the control address `control`.
     pub fn at(&self, control: AgentAddress) -> impl Iterator<Item = &ListedInstance> {
         let start = self.rows.partition_point(|row| row.control < control);
         self.rows[start..]
@@ -139,7 +140,7 @@
             .take_while(move |row| row.control == control)
     }
 
-    /// What changed after `revision`.
+    /// Returns the changes after `revision`.
     #[must_use]
     pub fn delta_since(&self, revision: u64) -> ListDelta {
         let table = self.index.delta_since(&self.rows, revision);
@@ -154,11 +155,12 @@
         ListDelta { table, zones }
     }
 
-    /// Takes what the platform answered, if it is newer.
+    /// Applies a list from the platform unless it is older than the one held; returns the changed
+    /// rows.
     ///
     /// # Errors
     ///
-    /// A [`TableError`] when it was not taken.
+    /// Returns a [`TableError`] if the list was refused.
     pub fn offer_list(
         &mut self,
         list: &InstanceList,
@@ -171,19 +173,19 @@
                 held: held.revision,
             });
         }
-        let next = self.rows_of(list);
+        let next = self.build_rows(list);
         let delta = self.index.delta_to(&self.rows, next, offered);
         if delta.to == held {
             return Ok(Vec::new());
         }
-        self.index.force(&mut self.rows, delta)
+        self.index.apply_authoritative(&mut self.rows, delta)
     }
 
-    /// Takes what a peer sent, if it is newer.
+    /// Applies a delta from a peer if it is newer; returns the changed rows.
     ///
     /// # Errors
     ///
-    /// A [`TableError`] when it was not taken.
+    /// Returns a [`TableError`] if the delta was refused.
     pub fn offer_delta(
         &mut self,
         delta: ListDelta,
@@ -195,7 +197,7 @@
         Ok(changes)
     }
 
-    fn rows_of(&mut self, list: &InstanceList) -> Vec<ListedInstance> {
+    fn build_rows(&mut self, list: &InstanceList) -> Vec<ListedInstance> {
         let mut rows = Vec::with_capacity(list.targets.len() + list.balancers.len());
         for target in &list.targets {
             rows.push(ListedInstance {
@@ -203,7 +205,7 @@
                 operations: target.operations,
                 zone: self.zone_id(&target.zone),
                 state: target.state,
-                duty: InstanceDuty::Target {
+                role: InstanceRole::Target {
                     id: target.id,
                     service: target.service.id(),
                     slots: target.slots.max(1),
@@ -216,7 +218,7 @@
                 operations: balancer.operations,
                 zone: self.zone_id(&balancer.zone),
                 state: balancer.state,
-                duty: InstanceDuty::Balancer,
+                role: InstanceRole::Balancer,
             });
         }
         rows.sort_by_key(TableRow::key);
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,15 +1,15 @@
-//! One process's part in the fleet: a state machine over messages and time.
+//! A member of the fleet: a state machine driven by messages and time.
 //!
 //! ```text
 //! advance, accept_*, set_* --> FleetMember --> take_actions: Send, Pull, Platform, Publish
 //! ```
 //!
 //! - `spread`: rounds of gossip heads.
-//! - `pulling`: pulls where a head shows something newer.
-//! - `reading`: whether this process reads the platform, and what its answers change.
-//! - `announce`: agents that the list does not name yet.
+//! - `pulling`: pulls from peers that hold something newer.
+//! - `reading`: when this process reads the platform, and how answers are handled.
+//! - `announce`: agents that are not listed yet.
 //! - `liveness`: heartbeats, accusations, departures.
-//! - `status`: what an operator is told.
+//! - `status`: status for operators.
 
 mod announce;
 mod liveness;
@@ -32,12 +32,12 @@
 use crate::action::{MemberAction, MemberNotice, MemberSettings};
 use crate::arrival::ArrivalTracker;
 use crate::budget::SendBudget;
-use crate::config::ConfigKeeper;
+use crate::config::ConfigTable;
 use crate::delta::RowChange;
 use crate::departure::DepartureTracker;
-use crate::list::{InstanceDuty, ListKeeper, ListedInstance, ZoneId};
+use crate::list::{InstanceRole, InstanceTable, ListedInstance, ZoneId};
 use crate::message::AccusedSubject;
-use crate::neighbour::NeighbourWatch;
+use crate::neighbour::NeighbourMonitor;
 use crate::ring::ring_neighbours;
 use crate::rumor::RumorQueue;
 use crate::suspicion::AccusationTracker;
@@ -50,39 +50,41 @@
 
 pub use status::{FleetStatus, LaggingPeer};
 
-/// How often [`FleetMember::advance`] is to be called.
+/// Interval at which [`FleetMember::advance`] must be called.
 pub const MEMBER_TICK: Duration = Duration::from_millis(100);
 
-/// A gap between two calls of [`FleetMember::advance`] that counts as a pause of this process.
-pub const PAUSE_LIMIT: Duration = Duration::from_secs(2);
+/// A gap of at least this length between two calls of [`FleetMember::advance`] means that this
+/// process was paused.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// In fleets below this size, every change is published at once.
-const PUBLISH_AT_ONCE_ROWS: usize = 10_000;
+/// Below this number of listed instances, every change is published immediately.
+const THROTTLED_PUBLISH_MIN_ROWS: usize = 10_000;
 
-/// Beyond, this many rows add a second between two views: 1.5 s at 175,000 instances.
-const PUBLISH_ROWS_A_SECOND: usize = 120_000;
+/// Above it, the interval between two views grows by one second per this many instances: 1.5 s at
+/// 175,000 instances.
+const PUBLISH_ROWS_PER_SECOND: usize = 120_000;
 
-/// Changes from which on the view is compacted after them.
-const COMPACT_CHANGES: usize = 1_000;
+/// Number of changes after which the view releases spare capacity.
+const COMPACT_MIN_CHANGES: usize = 1_000;
 
-/// What a process holds of the fleet and its part in spreading it.
+/// Membership state of one process.
 #[derive(Debug)]
 pub struct FleetMember {
     settings: MemberSettings,
     zone: ZoneId,
     rng: SmallRng,
     budget: SendBudget,
-    config: ConfigKeeper,
-    list: ListKeeper,
+    config: ConfigTable,
+    list: InstanceTable,
     departures: DepartureTracker,
     arrivals: ArrivalTracker,
     announcing: AnnounceState,
     accusations: AccusationTracker,
-    neighbours: NeighbourWatch,
+    neighbours: NeighbourMonitor,
     rumors: RumorQueue,
     spread: SpreadState,
     reading: ReadingState,
-    /// Invariant: holds what `config`, `list`, `departures` and `accusations` say.
+    /// Invariant: reflects `config`, `list`, `departures` and `accusations`.
     view: FleetView,
     view_changed: bool,
     last_publish: Option<Moment>,
@@ -92,28 +94,28 @@
     next_heartbeat: Moment,
     last_advance: Moment,
     ready: bool,
-    /// Invariant: what the view holds as suspected.
+    /// Invariant: the subjects that are suspected in the view.
     suspected: BTreeSet<AccusedSubject>,
-    /// Peers whose last head named a lower revision, and since when.
+    /// Peers with a lower configuration revision in their last head.
     lagging: BTreeMap<AgentAddress, LagEntry>,
     actions: Vec<MemberAction>,
 }
 
 impl FleetMember {
-    /// A process that has just started and knows nothing.
+    /// Creates the member of a process that has just started.
     #[must_use]
     pub fn new(settings: MemberSettings, seed: u64, now: Moment) -> Self {
         Self {
             zone: ZoneId::new(&settings.zone),
             rng: SmallRng::seed_from_u64(seed),
             budget: SendBudget::new(settings.send_rate, settings.send_burst, now),
-            config: ConfigKeeper::default(),
-            list: ListKeeper::default(),
+            config: ConfigTable::default(),
+            list: InstanceTable::default(),
             departures: DepartureTracker::default(),
             arrivals: ArrivalTracker::default(),
             announcing: AnnounceState::default(),
             accusations: AccusationTracker::default(),
-            neighbours: NeighbourWatch::default(),
+            neighbours: NeighbourMonitor::default(),
             rumors: RumorQueue::default(),
             spread: SpreadState::new(now),
             reading: ReadingState::new(now),
@@ -133,12 +135,12 @@
         }
     }
 
-    /// Lets time pass: call it every [`MEMBER_TICK`].
+    /// Runs everything that is due at `now`. Must be called every [`MEMBER_TICK`].
     pub fn advance(&mut self, now: Moment) {
         let gap = now.since(self.last_advance);
         self.last_advance = now;
-        if gap >= PAUSE_LIMIT {
-            self.resume(gap, now);
+        if gap >= PAUSE_THRESHOLD {
+            self.resync_after_pause(gap, now);
         }
         self.expire(now);
         self.advance_reading(now);
@@ -147,7 +149,7 @@
         self.check_ready(now);
     }
 
-    /// What is to be done since the last call, in order.
+    /// Takes the actions requested since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<MemberAction> {
         if self.view_changed && self.may_publish() {
             self.view_changed = false;
@@ -158,41 +160,42 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether the last view was published long enough ago.
+    /// Returns whether the last view was published long enough ago.
     ///
-    /// At full size the fleet changes more than once a second, and whoever reads the view works
-    /// out a routing table from the whole of it: changes that come close together share one.
+    /// At full size the fleet changes more than once a second, and each reader of the view computes
+    /// a routing table from the whole of it. Changes that are close together therefore share a
+    /// view.
     fn may_publish(&self) -> bool {
         let rows = self.list.rows().len();
-        if rows < PUBLISH_AT_ONCE_ROWS {
+        if rows < THROTTLED_PUBLISH_MIN_ROWS {
             return true;
         }
         #[allow(clippy::cast_precision_loss)]
-        let interval = Duration::from_secs_f64(rows as f64 / PUBLISH_ROWS_A_SECOND as f64);
+        let interval = Duration::from_secs_f64(rows as f64 / PUBLISH_ROWS_PER_SECOND as f64);
         self.last_publish
             .is_none_or(|last| self.last_advance.since(last) >= interval)
     }
 
-    /// What the process is.
+    /// Returns the settings of the member.
     #[must_use]
     pub fn settings(&self) -> &MemberSettings {
         &self.settings
     }
 
-    /// The view as it is now.
+    /// Returns the current view, whether or not it has been published.
     #[must_use]
     pub fn view(&self) -> &FleetView {
         &self.view
     }
 
-    /// Whether enough is known to serve: the highest configuration of the platform and several
-    /// peers, and a list. Once true it stays so, whatever fails later.
+    /// Returns whether this process knows enough to serve: a list, and the highest configuration of
+    /// the platform and several peers. Once true, it stays true.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// The neighbours' newest reports.
+    /// Returns the latest reports of the neighbours.
     #[must_use]
     pub fn peer_reports(&self, now: Moment) -> Vec<PeerReport> {
         let suspected = |agent| self.is_suspected(agent, now);
@@ -200,29 +203,29 @@
         self.neighbours.reports(suspected, leaving, now)
     }
 
-    /// Sets what heartbeats say of the own gate.
+    /// Sets the gate report that heartbeats carry.
     pub fn set_report(&mut self, report: GateReport) {
         self.report = report;
     }
 
-    /// Notes how an exchange with a peer ended.
+    /// Records the result of an exchange with a peer.
     pub fn record_exchange(&mut self, agent: AgentAddress, succeeded: bool, now: Moment) {
-        self.neighbours.note_exchange(agent, succeeded, now);
+        self.neighbours.record_exchange(agent, succeeded, now);
     }
 
-    fn notice(&mut self, notice: MemberNotice) {
+    fn notify(&mut self, notice: MemberNotice) {
         self.actions.push(MemberAction::Notice(notice));
     }
 
-    /// Rechecks everything after a pause of this process.
+    /// Resynchronizes after a pause of this process.
     ///
-    /// What goes wrong: a process that was stopped wakes with an old view and old waits, takes
-    /// every peer for silent and accuses them. It shows as a burst of suspicions from one
-    /// accuser. Waits start anew here, and the view is asked for again at once.
-    fn resume(&mut self, gap: Duration, now: Moment) {
-        self.neighbours.forgive(now);
-        self.ask_everybody_again(now);
-        self.notice(MemberNotice::Paused(gap));
+    /// A process that was stopped resumes with an old view and expired timers, would consider every
+    /// peer silent and accuse it: a burst of suspicions from one accuser. The timers are therefore
+    /// restarted, and the tables are read and pulled again at once.
+    fn resync_after_pause(&mut self, gap: Duration, now: Moment) {
+        self.neighbours.reset_timers(now);
+        self.restart_join(now);
+        self.notify(MemberNotice::Paused(gap));
     }
 
     fn apply_config(&mut self, changes: &[RowChange<ServiceEntry>], now: Moment) {
@@ -233,11 +236,11 @@
             .set_text(self.config.revision(), self.config.text());
         self.view_changed = true;
         self.lagging.clear();
-        self.notice(MemberNotice::ConfigTaken {
+        self.notify(MemberNotice::ConfigApplied {
             revision: self.config.revision(),
             source: self.config.source(),
         });
-        self.spread_soon(now);
+        self.schedule_eager_rounds(now);
     }
 
     fn apply_list(&mut self, changes: &[RowChange<ListedInstance>], now: Moment) {
@@ -247,16 +250,16 @@
         let mut balancers = false;
         for change in changes {
             for row in change.old.iter().chain(&change.new) {
-                match row.duty {
-                    InstanceDuty::Target { service, .. } => {
+                match row.role {
+                    InstanceRole::Target { service, .. } => {
                         own_service |= Some(service) == self.settings.service;
                     }
-                    InstanceDuty::Balancer => balancers = true,
+                    InstanceRole::Balancer => balancers = true,
                 }
             }
             self.apply_row(change, now);
         }
-        if changes.len() >= COMPACT_CHANGES {
+        if changes.len() >= COMPACT_MIN_CHANGES {
             self.view.shrink();
         }
         if own_service {
@@ -265,24 +268,24 @@
         if balancers {
             self.refresh_balancers();
         }
-        self.notice(MemberNotice::ListTaken(self.list.revision()));
+        self.notify(MemberNotice::ListApplied(self.list.revision()));
     }
 
     fn apply_row(&mut self, change: &RowChange<ListedInstance>, now: Moment) {
         if let Some(old) = &change.old
-            && let InstanceDuty::Target { id, service, .. } = old.duty
+            && let InstanceRole::Target { id, service, .. } = old.role
         {
             self.view.remove_target(service, id, old.control);
         }
         if let Some(new) = &change.new {
-            self.end_arrival(new.control);
-            self.show_row(new, now);
+            self.remove_arrival(new.control);
+            self.upsert_target(new, now);
         }
     }
 
-    /// Puts a target into the view.
-    fn show_row(&mut self, row: &ListedInstance, now: Moment) {
-        let InstanceDuty::Target { id, service, slots } = row.duty else {
+    /// Inserts or replaces a target in the view.
+    fn upsert_target(&mut self, row: &ListedInstance, now: Moment) {
+        let InstanceRole::Target { id, service, slots } = row.role else {
             return;
         };
         let Some(zone) = self.list.zone(row.zone) else {
@@ -303,7 +306,7 @@
     fn refresh_balancers(&mut self) {
         let rows = self.list.rows().iter();
         let balancers = rows
-            .filter(|row| row.duty == InstanceDuty::Balancer)
+            .filter(|row| row.role == InstanceRole::Balancer)
             .filter_map(|row| {
                 Some(BalancerRecord {
                     control: row.control,
@@ -321,11 +324,11 @@
         let Some(own_service) = self.settings.service else {
             return;
         };
-        let of_service = |row: &&ListedInstance| matches!(row.duty, InstanceDuty::Target { service, .. } if service == own_service);
+        let of_service = |row: &&ListedInstance| matches!(row.role, InstanceRole::Target { service, .. } if service == own_service);
         let listed = self.list.rows().iter().filter(of_service);
         let announced = self.arrivals.rows().filter(|row| of_service(&row));
         let agents = listed.copied().chain(announced).map(|row| row.control);
-        let neighbours = ring_neighbours(self.settings.own, agents);
+        let neighbours = ring_neighbours(self.settings.control, agents);
         let known = neighbours.into_iter().filter_map(|agent| {
             let listed = self.list.at(agent).next().copied();
             let zone = listed.or_else(|| self.arrivals.at(agent))?.zone;
@@ -351,7 +354,7 @@
         self.accusations.is_suspected(subject, now)
     }
 
-    /// Brings the view's standing of one address up to date.
+    /// Updates the standing of the targets at one address in the view.
     fn refresh_standing(&mut self, agent: AgentAddress, now: Moment) {
         let listed = self.list.at(agent).copied();
         let rows: Vec<ListedInstance> = listed.chain(self.arrivals.at(agent)).collect();
@@ -361,7 +364,7 @@
     }
 
     fn refresh_row(&mut self, row: &ListedInstance, now: Moment) {
-        if let InstanceDuty::Target { id, service, .. } = row.duty {
+        if let InstanceRole::Target { id, service, .. } = row.role {
             let standing = self.standing_of(row, now);
             self.view_changed |= self.view.set_standing(service, id, standing);
         }
--- a/crates/membership/src/member/liveness.rs
+++ b/crates/membership/src/member/liveness.rs
@@ -8,21 +8,21 @@
 
 use super::FleetMember;
 use crate::action::MemberNotice;
-use crate::budget::SendUrgency;
+use crate::budget::SendPriority;
 use crate::list::{ListedInstance, ZoneId};
 use crate::message::{
     AccusationEvent, AccusedSubject, DepartureEvent, MemberEvent, MemberMessage, PeerHeartbeat,
 };
-use crate::neighbour::DueWord;
+use crate::neighbour::DueAccusation;
 
-/// Time between two heartbeats.
+/// Interval of heartbeats to neighbours.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Processes of a silent neighbour's zone that are asked.
-const PROBES: usize = 3;
+/// Number of processes that a zone probe asks.
+const ZONE_PROBE_FANOUT: usize = 3;
 
 impl FleetMember {
-    /// Says from now on that this process is leaving.
+    /// Announces that this process is leaving.
     pub fn set_leaving(&mut self, now: Moment) {
         if self.leaving {
             return;
@@ -31,7 +31,7 @@
         self.report.condition = GateCondition::Leaving;
         self.next_heartbeat = now;
         let event = DepartureEvent {
-            agent: self.settings.own,
+            agent: self.settings.control,
             incarnation: self.settings.incarnation,
             refuted: false,
         };
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn accept_heartbeat(&mut self, heartbeat: PeerHeartbeat, now: Moment) {
-        if !self.neighbours.note_heartbeat(heartbeat, now) {
+        if !self.neighbours.record_heartbeat(heartbeat, now) {
             return;
         }
         let sender = heartbeat.sender;
@@ -54,14 +54,15 @@
         self.refute_predecessors(sender, heartbeat.incarnation, now);
     }
 
-    /// Ends the departure of a process when a successor at its address is heard of.
+    /// Refutes the departures of earlier incarnations at an address once a successor is known
+    /// there.
     pub(super) fn refute_predecessors(
         &mut self,
         agent: AgentAddress,
         current: Incarnation,
         now: Moment,
     ) {
-        let others: Vec<_> = self.departures.other_starts(agent, current).collect();
+        let others: Vec<_> = self.departures.other_incarnations(agent, current).collect();
         for incarnation in others {
             let event = DepartureEvent {
                 agent,
@@ -82,58 +83,58 @@
 
     fn accept_departure(&mut self, event: DepartureEvent, now: Moment) {
         let before = self.departures.is_leaving(event.agent);
-        if !self.departures.note(event, now) {
+        if !self.departures.record(event, now) {
             return;
         }
         let leaving = self.departures.is_leaving(event.agent);
         if leaving != before {
             self.refresh_standing(event.agent, now);
-            self.notice(MemberNotice::LeavingSeen {
+            self.notify(MemberNotice::LeavingChanged {
                 agent: event.agent,
                 leaving,
             });
         }
-        self.pass_on(MemberEvent::Departure(event), now);
-        if event.agent == self.settings.own {
+        self.relay(MemberEvent::Departure(event), now);
+        if event.agent == self.settings.control {
             self.refute_predecessors(event.agent, self.settings.incarnation, now);
         }
     }
 
     fn accept_accusation(&mut self, event: AccusationEvent, now: Moment) {
-        // Nobody is avoided on its own announcement about itself, nor on an old one about us.
-        if event.subject == AccusedSubject::Agent(self.settings.own) {
+        // A process does not suspect itself, and an accusation against it may be stale.
+        if event.subject == AccusedSubject::Agent(self.settings.control) {
             return;
         }
-        let verdict = self.accusations.note(&event, now);
-        if verdict.news {
-            self.pass_on(MemberEvent::Accusation(event), now);
+        let outcome = self.accusations.record(&event, now);
+        if outcome.should_relay {
+            self.relay(MemberEvent::Accusation(event), now);
         }
-        if let Some(suspected) = verdict.changed {
+        if let Some(suspected) = outcome.suspicion_change {
             if suspected {
                 self.suspected.insert(event.subject);
             } else {
                 self.suspected.remove(&event.subject);
             }
             self.refresh_subject(event.subject, now);
-            self.notice_suspicion(event.subject, suspected);
+            self.notify_suspicion(event.subject, suspected);
         }
     }
 
-    pub(super) fn pass_on(&mut self, event: MemberEvent, now: Moment) {
+    pub(super) fn relay(&mut self, event: MemberEvent, now: Moment) {
         self.rumors.push(event);
-        self.round_soon(now);
+        self.schedule_round(now);
     }
 
-    fn notice_suspicion(&mut self, subject: AccusedSubject, suspected: bool) {
+    fn notify_suspicion(&mut self, subject: AccusedSubject, suspected: bool) {
         match subject {
             AccusedSubject::Agent(agent) => {
-                self.notice(MemberNotice::SuspicionChanged { agent, suspected });
+                self.notify(MemberNotice::SuspicionChanged { agent, suspected });
             }
             AccusedSubject::Zone(zone) => {
                 let Some(zone) = self.list.zone(zone).cloned() else {
                     return;
                 };
-                self.notice(MemberNotice::ZoneChanged { zone, suspected });
+                self.notify(MemberNotice::ZoneSuspicionChanged { zone, suspected });
             }
         }
     }
@@ -154,12 +155,12 @@
     }
 
     pub(super) fn expire(&mut self, now: Moment) {
-        let was: Vec<AccusedSubject> = self.suspected.iter().copied().collect();
-        for subject in was {
+        let previously_suspected: Vec<AccusedSubject> = self.suspected.iter().copied().collect();
+        for subject in previously_suspected {
             if !self.accusations.is_suspected(subject, now) {
                 self.suspected.remove(&subject);
                 self.refresh_subject(subject, now);
-                self.notice_suspicion(subject, false);
+                self.notify_suspicion(subject, false);
             }
         }
         self.accusations.expire(now);
@@ -175,50 +176,50 @@
         }
         self.advance_announcing(now);
         if now >= self.next_heartbeat {
-            let share = self.rng.random_range(0.9..1.1);
-            self.next_heartbeat = now + HEARTBEAT_INTERVAL.mul_f64(share);
+            let jitter = self.rng.random_range(0.9..1.1);
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL.mul_f64(jitter);
             self.send_heartbeats(now);
         }
-        for silent in self.neighbours.due_questions(now) {
-            let question = MemberMessage::Probe(self.settings.own);
-            self.send(silent, question, SendUrgency::Heartbeat, now);
+        for silent in self.neighbours.due_peer_probes(now) {
+            let probe = MemberMessage::Probe(self.settings.control);
+            self.send(silent, probe, SendPriority::Heartbeat, now);
         }
-        for (zone, silent) in self.neighbours.due_probes(now) {
+        for (zone, silent) in self.neighbours.due_zone_probes(now) {
             self.probe_zone(zone, &silent, now);
         }
-        for word in self.neighbours.due_words(now) {
-            self.say(word, now);
+        for accusation in self.neighbours.due_accusations(now) {
+            self.issue_accusation(accusation, now);
         }
     }
 
-    /// Asks a few processes of a zone whether they are there. A zone with fewer others is too
-    /// small for its loss to be worth one word.
+    /// Probes a few processes of a zone. A zone with too few other processes is treated as
+    /// reachable: its loss needs no event of its own.
     fn probe_zone(&mut self, zone: ZoneId, silent: &[AgentAddress], now: Moment) {
-        let own = self.settings.own;
+        let own = self.settings.control;
         let rows = self.list.rows().iter().filter(|row| row.zone == zone);
         let others = rows
             .map(|row| row.control)
             .filter(|control| *control != own && !silent.contains(control));
-        let asked: Vec<AgentAddress> = others.choose_multiple(&mut self.rng, PROBES);
-        if asked.len() < PROBES {
-            self.neighbours.note_zone_alive(zone);
+        let asked: Vec<AgentAddress> = others.choose_multiple(&mut self.rng, ZONE_PROBE_FANOUT);
+        if asked.len() < ZONE_PROBE_FANOUT {
+            self.neighbours.record_zone_alive(zone);
             return;
         }
         for to in asked {
-            self.send(to, MemberMessage::Probe(own), SendUrgency::Heartbeat, now);
+            self.send(to, MemberMessage::Probe(own), SendPriority::Heartbeat, now);
         }
     }
 
     pub(super) fn accept_probe(&mut self, sender: AgentAddress, now: Moment) {
-        let answer = MemberMessage::Alive(self.settings.own);
-        self.send(sender, answer, SendUrgency::Heartbeat, now);
+        let answer = MemberMessage::Alive(self.settings.control);
+        self.send(sender, answer, SendPriority::Heartbeat, now);
     }
 
     pub(super) fn accept_alive(&mut self, sender: AgentAddress, now: Moment) {
-        self.neighbours.note_answer(sender, now);
+        self.neighbours.record_probe_reply(sender, now);
         let zone = self.list.at(sender).next().map(|row| row.zone);
         if let Some(zone) = zone {
-            self.neighbours.note_zone_alive(zone);
+            self.neighbours.record_zone_alive(zone);
         }
     }
 
@@ -228,28 +229,28 @@
             report.condition = GateCondition::Leaving;
         }
         let heartbeat = PeerHeartbeat {
-            sender: self.settings.own,
+            sender: self.settings.control,
             incarnation: self.settings.incarnation,
             report,
         };
         let neighbours: Vec<AgentAddress> = self.neighbours.neighbours().collect();
         for to in neighbours {
             let message = MemberMessage::Heartbeat(heartbeat);
-            self.send(to, message, SendUrgency::Heartbeat, now);
+            self.send(to, message, SendPriority::Heartbeat, now);
         }
     }
 
-    fn say(&mut self, word: DueWord, now: Moment) {
+    fn issue_accusation(&mut self, accusation: DueAccusation, now: Moment) {
         let Some(service) = self.settings.service else {
             return;
         };
         self.serial += 1;
         let event = AccusationEvent {
-            subject: word.subject,
-            accuser: self.settings.own,
+            subject: accusation.subject,
+            accuser: self.settings.control,
             service,
             serial: self.serial,
-            holds: word.holds,
+            holds: accusation.holds,
         };
         self.accept_event(MemberEvent::Accusation(event), now);
     }
--- a/crates/membership/src/member/pulling.rs
+++ b/crates/membership/src/member/pulling.rs
@@ -1,8 +1,8 @@
-//! Pulls: asking a peer for what is newer, and answering.
+//! Pulls: requests newer tables from a peer, and answers such requests.
 //!
 //! ```text
-//! Ask -> Answer            small: one datagram each way
-//! Ask -> (none, too long)  then Pull over a stream -> parts
+//! Ask -> Answer             small: one datagram each way
+//! Ask -> (empty or timeout) then Pull over a stream -> parts
 //! ```
 
 use std::time::Duration;
@@ -11,48 +11,49 @@
 use smallvec::SmallVec;
 
 use super::FleetMember;
-use super::spread::{FRAME_BYTES, encoded_length};
+use super::spread::{FRAME_OVERHEAD_BYTES, encoded_length};
 use crate::action::{MemberAction, MemberNotice};
-use crate::budget::SendUrgency;
-use crate::config::{ConfigDelta, ConfigError, ConfigVerdict};
+use crate::budget::SendPriority;
+use crate::config::{ConfigDelta, ConfigError, ConfigOutcome};
 use crate::delta::TableError;
 use crate::list::ListDelta;
 use crate::message::{MemberEvent, MemberMessage, PullPart, PullRequest, split_delta};
 
-/// An ask that was not answered for this long goes on as a stream.
+/// An ask that is not answered within this time is retried over a stream.
 const ASK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The longest answer that is sent as a datagram, in bytes.
+/// Largest answer that is sent as a datagram.
 const MAX_ANSWER_BYTES: usize = 1_100;
 
-/// A pull that was not answered for this long is given up.
+/// Timeout of a pull over a stream.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Least time between two pulls for the list alone; grows by [`LIST_ROWS_A_SECOND`], because at
-/// full size the list changes every second and lags by much more anyway.
+/// Minimum time between two pulls for the list alone. It grows with the list by
+/// [`LIST_PULL_ROWS_PER_SECOND`]: at full size the list changes every second, and the platform's
+/// list lags by much more than this interval.
 const LIST_PULL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rows that add a second between two pulls for the list.
-const LIST_ROWS_A_SECOND: usize = 50_000;
+/// Listed rows that add one second to the interval between list pulls.
+const LIST_PULL_ROWS_PER_SECOND: usize = 50_000;
 
-/// Least time between two reads of the platform because of a conflict.
-const CONFLICT_INTERVAL: Duration = Duration::from_secs(10);
+/// Minimum time between two platform reads caused by conflicts.
+const CONFLICT_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What opening and closing a TCP stream costs its opener: SYN, two ACKs and FIN, with 40 bytes
-/// of headers each, and the request's own segment.
-const STREAM_BYTES: usize = 5 * 40 + 4 + 19;
+/// Bytes that the opener of a TCP stream sends to open and close it: SYN, two ACKs and FIN with 40
+/// bytes of headers each, and the segment with the request.
+const STREAM_OVERHEAD_BYTES: usize = 5 * 40 + 4 + 19;
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PullState {
     pub(super) from: AgentAddress,
     pub(super) since: Moment,
-    /// Whether it was asked by a datagram.
-    pub(super) asked: bool,
+    /// Whether the request was sent as a datagram rather than over a stream.
+    pub(super) by_datagram: bool,
 }
 
 impl PullState {
-    pub(super) fn limit(&self) -> Duration {
-        if self.asked {
+    pub(super) fn timeout(&self) -> Duration {
+        if self.by_datagram {
             ASK_TIMEOUT
         } else {
             PULL_TIMEOUT
@@ -61,7 +62,7 @@
 }
 
 impl FleetMember {
-    /// The parts of the answer to a pull.
+    /// Returns the parts of the answer to a pull.
     pub fn answer_pull(&mut self, request: &PullRequest, now: Moment) -> Vec<PullPart> {
         let mut parts = vec![PullPart::Head(self.head(SmallVec::new(), now))];
         if request.config < self.config.head().revision {
@@ -83,23 +84,26 @@
             parts.push(PullPart::Arrivals(self.arrivals.events()));
         }
         parts.push(PullPart::End);
-        // A whole table for a fresh process is paid by no budget: it is owed once in the
+        // A full table for a starting process is not charged to the budget: it is sent once in the
         // lifetime of an instance, and refusing it would keep that instance from serving.
         if request.config > 0 && request.list > 0 {
-            let bytes = parts.iter().map(|part| encoded_length(part) + FRAME_BYTES);
+            let bytes = parts
+                .iter()
+                .map(|part| encoded_length(part) + FRAME_OVERHEAD_BYTES);
             self.budget.spend(bytes.sum(), now);
         }
         parts
     }
 
-    /// Takes the parts of an answer; one that broke off is a failed pull.
+    /// Handles the parts of an answer. An answer without its end was truncated and counts as a
+    /// failed pull.
     pub fn accept_answer(&mut self, from: AgentAddress, parts: Vec<PullPart>, now: Moment) {
         if parts.last() != Some(&PullPart::End) {
             self.pull_failed(from, now);
             return;
         }
         self.end_pull(from);
-        self.note_peer_answer(from);
+        self.record_peer_answer(from);
         let mut config: Option<ConfigDelta> = None;
         let mut list: Option<ListDelta> = None;
         let mut head = None;
@@ -107,8 +111,8 @@
         for part in parts {
             match part {
                 PullPart::Head(answered) => head = Some(answered),
-                PullPart::Config(part) => join_config(&mut config, part),
-                PullPart::List(part) => join_list(&mut list, part),
+                PullPart::Config(part) => append_config_part(&mut config, part),
+                PullPart::List(part) => append_list_part(&mut list, part),
                 PullPart::Departures(events) => {
                     self.spread.want_departures = false;
                     for event in events {
@@ -120,7 +124,7 @@
             }
         }
         if let Some(head) = &head {
-            self.note_platform_age(head, now);
+            self.record_platform_age(head, now);
         }
         if let Some(delta) = config {
             self.accept_config_delta(delta, now);
@@ -128,64 +132,74 @@
         if let Some(delta) = list {
             self.accept_list_delta(delta, now);
         }
-        // After the list, which names their zones and tells which of them it names itself.
+        // Arrivals are handled after the list: it resolves their zones and shows which of them are
+        // already listed.
         for event in arrivals {
             self.accept_event(MemberEvent::Arrival(event), now);
         }
         self.check_ready(now);
     }
 
-    /// Notes that a pull brought nothing.
+    /// Records that a pull failed.
     pub fn pull_failed(&mut self, from: AgentAddress, _now: Moment) {
         self.end_pull(from);
-        self.note_peer_failure(from);
+        self.record_peer_failure(from);
     }
 
     pub(super) fn list_pull_interval(&self) -> Duration {
         #[allow(clippy::cast_precision_loss)]
-        let rows = self.list.rows().len() as f64 / LIST_ROWS_A_SECOND as f64;
+        let rows = self.list.rows().len() as f64 / LIST_PULL_ROWS_PER_SECOND as f64;
         LIST_PULL_INTERVAL + Duration::from_secs_f64(rows)
     }
 
-    /// Asks a peer for what is newer, unless a pull is under way.
-    pub(super) fn pull(&mut self, from: AgentAddress, urgency: SendUrgency, now: Moment) {
-        if self.spread.pull.is_some() || from == self.settings.own {
+    /// Requests newer tables from a peer, unless a pull is in flight.
+    pub(super) fn pull(&mut self, from: AgentAddress, priority: SendPriority, now: Moment) {
+        if self.spread.pull.is_some() || from == self.settings.control {
             return;
         }
         let known = self.config.head().revision > 0 && self.list.head().revision > 0;
-        if self.ready && known && !self.spread.whole {
-            self.ask(from, urgency, now);
+        if self.ready && known && !self.spread.pull_full {
+            self.ask(from, priority, now);
         } else {
-            self.pull_by_stream(from, urgency, now);
+            self.pull_by_stream(from, priority, now);
         }
     }
 
     fn request(&mut self) -> PullRequest {
-        let whole = std::mem::take(&mut self.spread.whole);
-        let held = |revision| if whole { 0 } else { revision };
+        let full = std::mem::take(&mut self.spread.pull_full);
+        let known = |revision| if full { 0 } else { revision };
         PullRequest {
-            sender: self.settings.own,
-            config: held(self.config.head().revision),
-            list: held(self.list.head().revision),
+            sender: self.settings.control,
+            config: known(self.config.head().revision),
+            list: known(self.list.head().revision),
             departures: self.spread.want_departures,
         }
     }
 
-    fn start_pull(&mut self, from: AgentAddress, asked: bool, now: Moment) {
+    fn start_pull(&mut self, from: AgentAddress, by_datagram: bool, now: Moment) {
         let since = now;
-        self.spread.pull = Some(PullState { from, since, asked });
+        self.spread.pull = Some(PullState {
+            from,
+            since,
+            by_datagram,
+        });
         self.spread.last_list_pull = Some(now);
     }
 
-    fn ask(&mut self, from: AgentAddress, urgency: SendUrgency, now: Moment) {
+    fn ask(&mut self, from: AgentAddress, priority: SendPriority, now: Moment) {
         let request = self.request();
         self.start_pull(from, true, now);
-        self.send(from, MemberMessage::Ask(request), urgency, now);
+        self.send(from, MemberMessage::Ask(request), priority, now);
     }
 
-    pub(super) fn pull_by_stream(&mut self, from: AgentAddress, urgency: SendUrgency, now: Moment) {
-        let bytes = STREAM_BYTES + FRAME_BYTES;
-        if !self.budget.try_spend(bytes, urgency, now) {
+    pub(super) fn pull_by_stream(
+        &mut self,
+        from: AgentAddress,
+        priority: SendPriority,
+        now: Moment,
+    ) {
+        let bytes = STREAM_OVERHEAD_BYTES + FRAME_OVERHEAD_BYTES;
+        if !self.budget.try_spend(bytes, priority, now) {
             self.spread.pull = None;
             return;
         }
@@ -200,28 +214,28 @@
         if bytes > MAX_ANSWER_BYTES {
             parts.clear();
         }
-        // Its bytes were taken from the budget with the answer.
+        // `answer_pull` has already charged these bytes to the budget.
         self.actions.push(MemberAction::Send {
             to: request.sender,
             message: MemberMessage::Answer {
-                sender: self.settings.own,
+                sender: self.settings.control,
                 parts,
             },
         });
     }
 
-    pub(super) fn accept_small_answer(
+    pub(super) fn accept_datagram_answer(
         &mut self,
         from: AgentAddress,
         parts: Vec<PullPart>,
         now: Moment,
     ) {
-        let expected = |pull: &PullState| pull.asked && pull.from == from;
+        let expected = |pull: &PullState| pull.by_datagram && pull.from == from;
         if !self.spread.pull.as_ref().is_some_and(expected) {
             return;
         }
         if parts.is_empty() {
-            self.pull_by_stream(from, SendUrgency::Change, now);
+            self.pull_by_stream(from, SendPriority::Change, now);
         } else {
             self.accept_answer(from, parts, now);
         }
@@ -240,12 +254,12 @@
     fn accept_config_delta(&mut self, delta: ConfigDelta, now: Moment) {
         let revision = delta.to.revision;
         match self.config.offer_delta(delta) {
-            Ok(ConfigVerdict::Taken(changes)) => self.apply_config(&changes, now),
-            Ok(ConfigVerdict::Known) | Err(ConfigError::Lower { .. }) => {}
-            Err(ConfigError::Conflict { .. }) => self.note_conflict(revision, now),
+            Ok(ConfigOutcome::Applied(changes)) => self.apply_config(&changes, now),
+            Ok(ConfigOutcome::Unchanged) | Err(ConfigError::Lower { .. }) => {}
+            Err(ConfigError::Conflict { .. }) => self.handle_conflict(revision, now),
             Err(error) => {
-                self.spread.whole = true;
-                self.notice(MemberNotice::ConfigRefused(error));
+                self.spread.pull_full = true;
+                self.notify(MemberNotice::ConfigRefused(error));
             }
         }
     }
@@ -255,42 +269,43 @@
             Ok(changes) => self.apply_list(&changes, now),
             Err(TableError::NotNewer { .. }) => {}
             Err(error) => {
-                self.spread.whole = true;
-                self.notice(MemberNotice::ListRefused(error));
+                self.spread.pull_full = true;
+                self.notify(MemberNotice::ListRefused(error));
             }
         }
     }
 
-    /// Two contents under one revision: the first is kept, and the platform is asked.
-    pub(super) fn note_conflict(&mut self, revision: u64, now: Moment) {
-        let recent = self
+    /// Handles two different contents under one revision: keeps the first and reads from the
+    /// platform.
+    pub(super) fn handle_conflict(&mut self, revision: u64, now: Moment) {
+        let throttled = self
             .spread
             .last_conflict
-            .is_some_and(|last| now.since(last) < CONFLICT_INTERVAL);
-        if recent {
+            .is_some_and(|last| now.since(last) < CONFLICT_READ_INTERVAL);
+        if throttled {
             return;
         }
         self.spread.last_conflict = Some(now);
         let error = ConfigError::Conflict { revision };
-        self.notice(MemberNotice::ConfigRefused(error));
-        self.read_config_once(now);
+        self.notify(MemberNotice::ConfigRefused(error));
+        self.request_config(now);
     }
 }
 
-/// Joins a part to the parts before it.
-fn join_config(whole: &mut Option<ConfigDelta>, part: ConfigDelta) {
-    match whole {
-        Some(held) => held.join(part),
-        None => *whole = Some(part),
+/// Appends a part to the parts received before it.
+fn append_config_part(merged: &mut Option<ConfigDelta>, part: ConfigDelta) {
+    match merged {
+        Some(held) => held.append(part),
+        None => *merged = Some(part),
     }
 }
 
-fn join_list(whole: &mut Option<ListDelta>, part: ListDelta) {
-    let Some(held) = whole else {
-        *whole = Some(part);
+fn append_list_part(merged: &mut Option<ListDelta>, part: ListDelta) {
+    let Some(held) = merged else {
+        *merged = Some(part);
         return;
     };
-    held.table.join(part.table);
+    held.table.append(part.table);
     for zone in part.zones {
         if !held.zones.contains(&zone) {
             held.zones.push(zone);
--- a/crates/membership/src/member/spread.rs
+++ b/crates/membership/src/member/spread.rs
@@ -1,4 +1,4 @@
-//! Rounds of gossip heads, and what a received head leads to.
+//! Gossip rounds, and the handling of received heads.
 
 use std::time::Duration;
 
@@ -12,49 +12,49 @@
 use super::pulling::PullState;
 use super::status::LagEntry;
 use crate::action::MemberAction;
-use crate::budget::{PACKET_OVERHEAD_BYTES, SendUrgency};
-use crate::list::{InstanceDuty, ListedInstance};
+use crate::budget::{PACKET_OVERHEAD_BYTES, SendPriority};
+use crate::list::{InstanceRole, ListedInstance};
 use crate::message::{GossipHead, MemberEvent, MemberMessage};
 
-/// Time between two regular rounds.
+/// Interval of regular rounds.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two rounds while there is something new.
+/// Interval of rounds while there are changes or events to spread.
 const EAGER_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Processes that a regular round reaches.
+/// Fan-out of a regular round.
 const REGULAR_FANOUT: usize = 1;
 
-/// Processes that a round with something new reaches.
+/// Fan-out of an eager round.
 const EAGER_FANOUT: usize = 3;
 
-/// Eager rounds after a change of configuration. One round to three processes misses e^-3 or
-/// 5 % of them; those hear of it from the regular heads within a second or two.
+/// Eager rounds after a configuration change. One round with a fan-out of three misses e^-3 or 5 %
+/// of the processes; these learn of the change from regular heads within a second or two.
 const EAGER_ROUNDS: u8 = 1;
 
-/// In fleets up to this size, agents too hear of other services' departures at once; beyond,
-/// events go to balancers, who alone place by them.
-const EVERYBODY_LIMIT: usize = 64;
+/// Up to this fleet size, events are sent to random processes of any role. In larger fleets they go
+/// to balancers, the only processes that place flows by them, and to neighbours.
+const BROADCAST_MAX_FLEET_SIZE: usize = 64;
 
-/// Lagging peers that are remembered.
-const MAX_LAGGING: usize = 64;
+/// Upper bound of tracked lagging peers.
+const MAX_LAGGING_PEERS: usize = 64;
 
-/// What a frame adds to a message.
-pub(super) const FRAME_BYTES: usize = 19 + PACKET_OVERHEAD_BYTES;
+/// Bytes that framing, UDP and IP add to a message.
+pub(super) const FRAME_OVERHEAD_BYTES: usize = 19 + PACKET_OVERHEAD_BYTES;
 
-/// The state of spreading.
+/// State of gossip rounds and pulls.
 #[derive(Clone, Debug)]
 pub(super) struct SpreadState {
     next_round: Moment,
-    eager_left: u8,
+    eager_rounds_left: u8,
     pub(super) pull: Option<PullState>,
     pub(super) last_list_pull: Option<Moment>,
     pub(super) last_conflict: Option<Moment>,
-    /// The next pull asks for whole tables: a delta did not fit.
-    pub(super) whole: bool,
-    /// Ask for departures with the next pulls.
+    /// Whether the next pull requests full tables, because a delta could not be applied.
+    pub(super) pull_full: bool,
+    /// Whether pulls request departures and arrivals.
     pub(super) want_departures: bool,
-    /// Peers that were given by the settings or by the adapter, for a process without a list.
+    /// Peers from the settings or from the caller, used while the list is empty.
     pub(super) seeds: SmallVec<[AgentAddress; 4]>,
     balancers: Vec<AgentAddress>,
 }
@@ -63,11 +63,11 @@
     pub(super) fn new(now: Moment) -> Self {
         Self {
             next_round: now,
-            eager_left: 0,
+            eager_rounds_left: 0,
             pull: None,
             last_list_pull: None,
             last_conflict: None,
-            whole: false,
+            pull_full: false,
             want_departures: true,
             seeds: SmallVec::new(),
             balancers: Vec::new(),
@@ -75,22 +75,22 @@
     }
 
     pub(super) fn set_balancers(&mut self, rows: &[ListedInstance]) {
-        let balancers = rows.iter().filter(|row| row.duty == InstanceDuty::Balancer);
+        let balancers = rows.iter().filter(|row| row.role == InstanceRole::Balancer);
         self.balancers = balancers.map(|row| row.control).collect();
     }
 }
 
 impl FleetMember {
-    /// Adds peers to ask while there is no list.
+    /// Adds peers to contact while the list is empty.
     pub fn add_seeds(&mut self, seeds: &[AgentAddress]) {
         for &seed in seeds {
-            if seed != self.settings.own && !self.spread.seeds.contains(&seed) {
+            if seed != self.settings.control && !self.spread.seeds.contains(&seed) {
                 self.spread.seeds.push(seed);
             }
         }
     }
 
-    /// Takes a datagram's message.
+    /// Handles a message received as a datagram.
     pub fn accept_message(&mut self, message: MemberMessage, now: Moment) {
         match message {
             MemberMessage::Head(head) => self.accept_head(head, now),
@@ -99,17 +99,17 @@
             MemberMessage::Alive(sender) => self.accept_alive(sender, now),
             MemberMessage::Ask(request) => self.accept_ask(&request, now),
             MemberMessage::Answer { sender, parts } => {
-                self.accept_small_answer(sender, parts, now);
+                self.accept_datagram_answer(sender, parts, now);
             }
         }
     }
 
     pub(super) fn advance_spread(&mut self, now: Moment) {
         if let Some(pull) = self.spread.pull
-            && now.since(pull.since) >= pull.limit()
+            && now.since(pull.since) >= pull.timeout()
         {
-            if pull.asked {
-                self.pull_by_stream(pull.from, SendUrgency::Change, now);
+            if pull.by_datagram {
+                self.pull_by_stream(pull.from, SendPriority::Change, now);
             } else {
                 self.pull_failed(pull.from, now);
             }
@@ -117,42 +117,46 @@
         if now < self.spread.next_round {
             return;
         }
-        let eager = self.spread.eager_left > 0 || !self.rumors.is_empty();
-        self.spread.eager_left = self.spread.eager_left.saturating_sub(1);
+        let eager = self.spread.eager_rounds_left > 0 || !self.rumors.is_empty();
+        self.spread.eager_rounds_left = self.spread.eager_rounds_left.saturating_sub(1);
         self.send_round(eager, now);
-        let more = self.spread.eager_left > 0 || !self.rumors.is_empty();
-        // A random share keeps the rounds of processes that started together apart.
-        let spread = self.rng.random_range(0.8..1.2);
-        let interval = if more { EAGER_INTERVAL } else { ROUND_INTERVAL };
-        self.spread.next_round = now + interval.mul_f64(spread);
+        let pending = self.spread.eager_rounds_left > 0 || !self.rumors.is_empty();
+        // Jitter desynchronizes processes that started together.
+        let jitter = self.rng.random_range(0.8..1.2);
+        let interval = if pending {
+            EAGER_INTERVAL
+        } else {
+            ROUND_INTERVAL
+        };
+        self.spread.next_round = now + interval.mul_f64(jitter);
     }
 
-    /// Makes the next rounds follow at once: there is something new to pass on.
-    pub(super) fn spread_soon(&mut self, now: Moment) {
-        self.spread.eager_left = EAGER_ROUNDS;
+    /// Schedules eager rounds to spread a configuration change.
+    pub(super) fn schedule_eager_rounds(&mut self, now: Moment) {
+        self.spread.eager_rounds_left = EAGER_ROUNDS;
         self.spread.next_round = self.spread.next_round.min(now + EAGER_INTERVAL / 10);
     }
 
-    /// Makes the next round follow at once for an event.
-    pub(super) fn round_soon(&mut self, now: Moment) {
+    /// Moves the next round forward to spread an event.
+    pub(super) fn schedule_round(&mut self, now: Moment) {
         self.spread.next_round = self.spread.next_round.min(now + EAGER_INTERVAL / 10);
     }
 
     fn send_round(&mut self, eager: bool, now: Moment) {
-        // Events wait while the budget is spent: a burst of accusations must not cost more than
-        // a node may send, nor delay the next configuration.
+        // Events wait while the budget is exhausted: a burst of accusations must neither exceed the
+        // send rate of a node nor delay the next configuration.
         let events = if self.budget.is_exhausted(now) {
             SmallVec::new()
         } else {
             self.rumors.next_round()
         };
         let fanout = if eager { EAGER_FANOUT } else { REGULAR_FANOUT };
-        let urgency = if eager {
-            SendUrgency::Change
+        let priority = if eager {
+            SendPriority::Change
         } else {
-            SendUrgency::Regular
+            SendPriority::Regular
         };
-        let to_balancers = !events.is_empty() && self.list.rows().len() > EVERYBODY_LIMIT;
+        let to_balancers = !events.is_empty() && self.list.rows().len() > BROADCAST_MAX_FLEET_SIZE;
         let head = self.head(events, now);
         let mut peers = self.pick_peers(fanout, to_balancers);
         if to_balancers {
@@ -160,7 +164,7 @@
         }
         for to in peers {
             let message = MemberMessage::Head(head.clone());
-            self.send(to, message, urgency, now);
+            self.send(to, message, priority, now);
         }
     }
 
@@ -168,18 +172,18 @@
         &mut self,
         to: AgentAddress,
         message: MemberMessage,
-        urgency: SendUrgency,
+        priority: SendPriority,
         now: Moment,
     ) {
-        let length = encoded_length(&message) + FRAME_BYTES;
-        if self.budget.try_spend(length, urgency, now) {
+        let length = encoded_length(&message) + FRAME_OVERHEAD_BYTES;
+        if self.budget.try_spend(length, priority, now) {
             self.actions.push(MemberAction::Send { to, message });
         }
     }
 
     pub(super) fn head(&self, events: SmallVec<[MemberEvent; 2]>, now: Moment) -> GossipHead {
         GossipHead {
-            sender: self.settings.own,
+            sender: self.settings.control,
             config: self.config.head(),
             list: self.list.head(),
             platform_age: self.reading.platform_age(now),
@@ -187,13 +191,13 @@
         }
     }
 
-    /// Different random processes, from the list or the seeds.
-    fn pick_peers(&mut self, count: usize, balancers: bool) -> SmallVec<[AgentAddress; 4]> {
+    /// Picks distinct random processes from the list, or from the seeds while it is empty.
+    fn pick_peers(&mut self, count: usize, balancers_only: bool) -> SmallVec<[AgentAddress; 4]> {
         let mut picked: SmallVec<[AgentAddress; 4]> = SmallVec::new();
         for _ in 0..4 * count {
-            let peer = self.pick_peer(balancers);
+            let peer = self.pick_peer(balancers_only);
             if let Some(peer) = peer
-                && peer != self.settings.own
+                && peer != self.settings.control
                 && !picked.contains(&peer)
             {
                 picked.push(peer);
@@ -205,17 +209,17 @@
         picked
     }
 
-    /// Two neighbours: a service's own agents hear of its events along the ring, since they
-    /// hand flows and requests to each other.
+    /// Picks two neighbours. Agents of one service hand flows and requests to each other, so they
+    /// relay the events of their service along the ring.
     fn pick_neighbours(&mut self) -> SmallVec<[AgentAddress; 2]> {
         let neighbours = self.neighbours.neighbours();
         let picked = neighbours.choose_multiple(&mut self.rng, 2);
         SmallVec::from_vec(picked)
     }
 
-    fn pick_peer(&mut self, balancers: bool) -> Option<AgentAddress> {
+    fn pick_peer(&mut self, balancers_only: bool) -> Option<AgentAddress> {
         let rows = self.list.rows();
-        if balancers && !self.spread.balancers.is_empty() {
+        if balancers_only && !self.spread.balancers.is_empty() {
             let at = self.rng.random_range(0..self.spread.balancers.len());
             return Some(self.spread.balancers[at]);
         }
@@ -227,17 +231,17 @@
     }
 
     fn accept_head(&mut self, head: GossipHead, now: Moment) {
-        if head.sender == self.settings.own {
+        if head.sender == self.settings.control {
             return;
         }
-        self.note_platform_age(&head, now);
+        self.record_platform_age(&head, now);
         for &event in &head.events {
             self.accept_event(event, now);
         }
         if self.config.check_head(head.config).is_err() {
-            self.note_conflict(head.config.revision, now);
+            self.handle_conflict(head.config.revision, now);
         }
-        self.note_lag(&head, now);
+        self.record_lag(&head, now);
         let newer_config = head.config.revision > self.config.head().revision;
         let newer_list = head.list.revision > self.list.head().revision;
         let list_due = self
@@ -245,38 +249,41 @@
             .last_list_pull
             .is_none_or(|last| now.since(last) >= self.list_pull_interval());
         if newer_config || (newer_list && list_due) || !self.ready {
-            self.pull(head.sender, SendUrgency::Change, now);
+            self.pull(head.sender, SendPriority::Change, now);
         } else if head.config.revision < self.config.head().revision {
-            // The other side lacks something: one head back lets it pull.
+            // The sender lags behind: replying with a head lets it pull.
             let message = MemberMessage::Head(self.head(SmallVec::new(), now));
-            self.send(head.sender, message, SendUrgency::Regular, now);
+            self.send(head.sender, message, SendPriority::Regular, now);
         }
     }
 
-    /// A random process of another zone, if the list knows one.
-    pub(super) fn pick_far_peer(&mut self, not: &[AgentAddress]) -> Option<AgentAddress> {
-        let mut near = None;
+    /// Picks a random process of another zone, or of this zone if there is no other.
+    pub(super) fn pick_peer_in_other_zone(
+        &mut self,
+        exclude: &[AgentAddress],
+    ) -> Option<AgentAddress> {
+        let mut same_zone = None;
         for _ in 0..16 {
             let peer = self.pick_peer(false)?;
-            if peer == self.settings.own || not.contains(&peer) {
+            if peer == self.settings.control || exclude.contains(&peer) {
                 continue;
             }
             let zone = self.list.at(peer).next().map(|row| row.zone);
             if zone != Some(self.zone) {
                 return Some(peer);
             }
-            near = Some(peer);
+            same_zone = Some(peer);
         }
-        near
+        same_zone
     }
 
-    fn note_lag(&mut self, head: &GossipHead, now: Moment) {
+    fn record_lag(&mut self, head: &GossipHead, now: Moment) {
         let held = self.config.head().revision;
         if head.config.revision >= held {
             self.lagging.remove(&head.sender);
             return;
         }
-        let full = self.lagging.len() >= MAX_LAGGING;
+        let full = self.lagging.len() >= MAX_LAGGING_PEERS;
         if let Some(entry) = self.lagging.get_mut(&head.sender) {
             entry.revision = head.config.revision;
         } else if !full {
--- a/crates/membership/src/member/status.rs
+++ b/crates/membership/src/member/status.rs
@@ -1,4 +1,4 @@
-//! What an operator is told about this process's knowledge of the fleet.
+//! Status of this process's knowledge of the fleet, for operators.
 
 use lovagelatch_domain::{AgentAddress, ConfigRevision, ListRevision, Moment, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -7,50 +7,50 @@
 use crate::config::ConfigSource;
 use crate::message::AccusedSubject;
 
-/// A peer whose last word named a lower revision than the one in force here.
+/// A peer whose last head had a lower configuration revision than the one in force here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaggingPeer {
-    /// The peer.
+    /// Address of the peer's control socket.
     pub peer: AgentAddress,
-    /// The revision it named.
+    /// Configuration revision in its last head.
     pub revision: u64,
-    /// For how many seconds it has been known to lag.
+    /// Seconds since it was first seen to lag.
     pub seconds: u64,
 }
 
-/// What is remembered of a lagging peer.
+/// Tracked state of a lagging peer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LagEntry {
     pub(super) revision: u64,
     pub(super) since: Moment,
 }
 
-/// The state of a process's knowledge of the fleet.
+/// What a process knows of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// Whether it knows enough to serve.
+    /// Whether the process knows enough to serve.
     pub ready: bool,
-    /// The configuration in force; 0 for none.
+    /// Revision of the configuration in force; 0 for none.
     pub revision: ConfigRevision,
-    /// Who it was heard from.
+    /// Source of the configuration in force.
     pub source: ConfigSource,
-    /// The highest revision refused for its faults; 0 for none.
+    /// Highest revision refused as invalid; 0 for none.
     pub refused: ConfigRevision,
-    /// The instance list's revision; 0 for none.
+    /// Revision of the instance list; 0 for none.
     pub list_revision: ListRevision,
-    /// Instances listed.
+    /// Number of listed instances.
     pub instances: usize,
-    /// Seconds since the platform last spoke, as far as this process knows.
+    /// Seconds since the platform last answered any process, as far as this one knows.
     pub platform_age_seconds: Option<u16>,
-    /// Whether this process reads the platform in this epoch.
+    /// Whether this process is an elected platform reader in the current epoch.
     pub reader: bool,
-    /// Peers that named a lower revision.
+    /// Peers with a lower configuration revision.
     pub lagging: Vec<LaggingPeer>,
-    /// Agents that said themselves that they are leaving.
+    /// Agents that announced that they are leaving.
     pub leaving: Vec<AgentAddress>,
-    /// Agents that two peers lost touch with.
+    /// Agents that at least two neighbours accuse.
     pub suspected: Vec<AgentAddress>,
-    /// Zones that are taken for lost.
+    /// Zones that are suspected as a whole.
     pub lost_zones: Vec<ZoneName>,
 }
 
@@ -65,7 +65,7 @@
         peers.collect()
     }
 
-    /// The state of this process's knowledge.
+    /// Returns the current status.
     #[must_use]
     pub fn status(&self, now: Moment) -> FleetStatus {
         let age = self.reading.platform_age(now);
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,11 +1,11 @@
-//! What the processes of a fleet tell each other.
+//! Messages between the processes of a fleet.
 //!
 //! ```text
-//! UDP  Head       every second to a few random processes: what I hold, fresh events
-//! UDP  Heartbeat  every second to the neighbours of one service: my gate's load
-//!      Probe <-> Alive   before a silent neighbour is accused
-//!      Ask <-> Answer    a pull that fits a datagram: a change of one service does
-//! TCP  Pull  ->   what I hold; send me what is newer
+//! UDP  Head       every second to a few random processes: revisions held, recent events
+//! UDP  Heartbeat  every second to the neighbours in the same service: load of the gate
+//!      Probe <-> Alive   sent before a silent neighbour is accused
+//!      Ask <-> Answer    a pull that fits a datagram, such as a change of one service
+//! TCP  Pull  ->   revisions held; requests what is newer
 //!      <- PullPart*  deltas, in parts of bounded size
 //! ```
 
@@ -19,70 +19,71 @@
 use crate::delta::{TableDelta, TableHead};
 use crate::list::{ListDelta, ZoneId};
 
-/// Rows that one part of an answer carries at most; keeps a frame well below its limit.
-const PART_ROWS: usize = 2_000;
+/// Maximum rows in one part of an answer; keeps a frame well below its size limit.
+const MAX_PART_ROWS: usize = 2_000;
 
-/// Events that one head carries at most, so that it stays one small datagram.
+/// Maximum events in one head, so that it remains one small datagram.
 pub(crate) const MAX_HEAD_EVENTS: usize = 32;
 
-/// What a process holds, in few bytes.
+/// A compact summary of the sender's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipHead {
-    /// Who says it.
+    /// Control address of the sender.
     pub sender: AgentAddress,
-    /// The configuration in force there.
+    /// Configuration in force at the sender.
     pub config: TableHead,
-    /// The instance list held there.
+    /// Instance list held by the sender.
     pub list: TableHead,
-    /// Seconds since the platform last spoke, as far as the sender knows; 65,535 for never.
+    /// Seconds since the platform last answered any process, as far as the sender knows; 65,535 for
+    /// never.
     pub platform_age: u16,
-    /// Events that the sender heard lately.
+    /// Events that the sender relays in this round.
     pub events: SmallVec<[MemberEvent; 2]>,
 }
 
-/// A neighbour's word about itself.
+/// A heartbeat with the sender's load, for its neighbours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Who says it.
+    /// Control address of the sender.
     pub sender: AgentAddress,
-    /// That process's start.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Its gate's load.
+    /// Load of the sender's gate.
     pub report: GateReport,
 }
 
-/// A process said that it is leaving, or that word was about a predecessor at its address.
+/// A process is leaving, or a successor at its address refuted that.
 ///
-/// For one address and incarnation, `refuted` wins over not refuted for good, so the order in
-/// which the two are heard does not matter.
+/// For one address and incarnation, a refuted departure always supersedes one that is not refuted,
+/// so the order of arrival does not matter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DepartureEvent {
-    /// The process.
+    /// Control address of the process.
     pub agent: AgentAddress,
-    /// The start of it that is leaving.
+    /// Incarnation that is leaving.
     pub incarnation: Incarnation,
-    /// Whether a later start at the same address has spoken since.
+    /// Whether a later incarnation has been seen at the same address.
     pub refuted: bool,
 }
 
-/// A fresh agent announces itself while the list does not name it yet.
+/// Announcement of a starting agent that is not in the list yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ArrivalEvent {
-    /// The agent.
+    /// Control address of the agent.
     pub agent: AgentAddress,
-    /// Where it serves operations.
+    /// Address of its operations endpoint.
     pub operations: SocketAddrV4,
-    /// This start of it.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// The service of its backend server.
+    /// Service of its backend server.
     pub service: ServiceId,
-    /// Its zone.
+    /// Id of its zone.
     pub zone: ZoneId,
-    /// Its slots.
+    /// Number of its slots.
     pub slots: u16,
 }
 
-/// What an accusation is about.
+/// Subject of an accusation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AccusedSubject {
     /// One process.
@@ -91,81 +92,83 @@
     Zone(ZoneId),
 }
 
-/// One process lost touch with another, or found it again.
+/// A process lost contact with another process or a zone, or regained it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AccusationEvent {
-    /// Who or what is silent.
+    /// The process or zone that is silent.
     pub subject: AccusedSubject,
-    /// Who says so.
+    /// Control address of the accuser.
     pub accuser: AgentAddress,
-    /// The accuser's service; a zone's loss needs the word of several.
+    /// Service of the accuser; a zone is suspected only if accusers of several services agree.
     pub service: ServiceId,
-    /// Grows with each word of this accuser; a lower one is late.
+    /// Increases with each accusation of this accuser; an event with a lower serial is stale.
     pub serial: u32,
-    /// Whether it still holds.
+    /// `false` withdraws an earlier accusation.
     pub holds: bool,
 }
 
-/// A change that spreads from process to process.
+/// An event that is relayed from process to process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberEvent {
     /// A process is leaving.
     Departure(DepartureEvent),
-    /// A process or zone is silent.
+    /// A process or zone is silent, or responds again.
     Accusation(AccusationEvent),
-    /// An agent is there before the list names it.
+    /// An agent is running but not listed yet.
     Arrival(ArrivalEvent),
 }
 
-/// A datagram between processes.
+/// A message that is sent as a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberMessage {
-    /// What the sender holds.
+    /// Summary of the sender's state.
     Head(GossipHead),
-    /// A neighbour's load.
+    /// Heartbeat between neighbours.
     Heartbeat(PeerHeartbeat),
-    /// Are you there? Its sender lost touch with another process of the receiver's zone.
+    /// Liveness probe, from the given address: sent to a silent neighbour and to other processes of
+    /// its zone.
     Probe(AgentAddress),
-    /// The answer to a probe, from this process.
+    /// Reply to a probe, from the given address.
     Alive(AgentAddress),
-    /// A pull whose answer is expected to be small.
+    /// Pull whose answer is expected to fit a datagram.
     Ask(PullRequest),
-    /// The answer to an ask; without its end it was too long, and a stream is to be used.
+    /// Answer to an ask. Empty if it does not fit a datagram; the pull then continues over a
+    /// stream.
     Answer {
-        /// Who answers.
+        /// Control address of the sender.
         sender: AgentAddress,
-        /// The parts.
+        /// Parts of the answer.
         parts: Vec<PullPart>,
     },
 }
 
-/// The first frame of a stream: what its sender holds.
+/// A pull request; over a stream, its first frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// Who asks.
+    /// Control address of the sender.
     pub sender: AgentAddress,
-    /// The configuration revision held; 0 asks for the whole.
+    /// Configuration revision held; 0 requests the full configuration.
     pub config: u64,
-    /// The list revision held; 0 asks for the whole.
+    /// List revision held; 0 requests the full list.
     pub list: u64,
-    /// Whether departures and arrivals are asked for: after a start or a pause.
+    /// Whether departures and arrivals are requested, as after a start or pause.
     pub departures: bool,
 }
 
 /// One frame of an answer. The stream ends after [`PullPart::End`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PullPart {
-    /// What the answering process holds.
+    /// Summary of the state of the answering process.
     Head(GossipHead),
-    /// Part of a configuration's delta.
+    /// Part of the configuration delta.
     Config(ConfigDelta),
-    /// Part of a list's delta.
+    /// Part of the list delta.
     List(ListDelta),
-    /// Departures, all that are held.
+    /// All known departures.
     Departures(Vec<DepartureEvent>),
-    /// Arrivals, all that are held.
+    /// All known arrivals.
     Arrivals(Vec<ArrivalEvent>),
-    /// Nothing follows: an answer without it broke off.
+    /// End of the answer; an answer without it was truncated.
     End,
 }
 
@@ -180,14 +183,14 @@
     let mut changed = delta.changed.into_iter().peekable();
     while changed.peek().is_some() {
         parts.push(TableDelta {
-            changed: changed.by_ref().take(PART_ROWS).collect(),
+            changed: changed.by_ref().take(MAX_PART_ROWS).collect(),
             ..empty.clone()
         });
     }
     let mut removed = delta.removed.into_iter().peekable();
     while removed.peek().is_some() {
         parts.push(TableDelta {
-            removed: removed.by_ref().take(PART_ROWS).collect(),
+            removed: removed.by_ref().take(MAX_PART_ROWS).collect(),
             ..empty.clone()
         });
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,40 +1,41 @@
-//! Probes of a zone before its processes are accused.
+//! Zone probes, sent before the silent processes of a zone are accused.
 
 use std::time::Duration;
 
 use lovagelatch_domain::Moment;
 
-/// How long a probe of a silent neighbour or its zone waits for an answer.
-pub(crate) const PROBE_WAIT: Duration = Duration::from_secs(1);
+/// Timeout of a probe, of a silent neighbour or of its zone.
+pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What was found out about the zone of a silent neighbour.
+/// State of the probe of a silent neighbour's zone.
 ///
-/// When a zone is lost, its agents have some hundred thousand neighbours elsewhere at full size;
-/// if each accused each, no budget would carry it. So an accuser first asks a few other
-/// processes of that zone: silence from all makes it one word about the zone.
+/// When a zone is lost at full size, its agents have about a hundred thousand neighbours in other
+/// zones. Individual accusations by all of them would exceed every send budget. An accuser
+/// therefore first probes a few other processes of the zone; if none replies, it sends one
+/// accusation of the zone instead.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneProbe {
-    pub(crate) sent: Moment,
+    pub(crate) sent_at: Moment,
     pub(crate) answered: bool,
-    pub(crate) accused: Option<Moment>,
+    pub(crate) last_accused: Option<Moment>,
 }
 
-/// Whether a silent neighbour's zone answers.
+/// Whether the zone of a silent neighbour replies to probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ZoneVerdict {
+pub(crate) enum ZoneReachability {
     Pending,
     Reachable,
     Lost,
 }
 
 impl ZoneProbe {
-    pub(crate) fn verdict(&self, now: Moment) -> ZoneVerdict {
+    pub(crate) fn reachability(&self, now: Moment) -> ZoneReachability {
         if self.answered {
-            ZoneVerdict::Reachable
-        } else if now.since(self.sent) >= PROBE_WAIT {
-            ZoneVerdict::Lost
+            ZoneReachability::Reachable
+        } else if now.since(self.sent_at) >= PROBE_TIMEOUT {
+            ZoneReachability::Lost
         } else {
-            ZoneVerdict::Pending
+            ZoneReachability::Pending
         }
     }
 }
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/ring.rs
@@ -1,9 +1,9 @@
-//! Which agents of a service exchange heartbeats.
+//! Heartbeat neighbours within a service.
 //!
-//! The agents of a service stand on a ring in the order of a hash of their addresses, which
-//! mixes the zones. Each exchanges heartbeats with the three before and the three behind it, so
-//! every agent is watched by six, and two agents that hold the same list agree on whether they
-//! are neighbours. A service of up to seven targets is a full mesh.
+//! The agents of a service form a ring, ordered by a hash of their addresses, which mixes the
+//! zones. Each agent exchanges heartbeats with three neighbours on each side. Every agent is thus
+//! monitored by six others, and two agents with the same list agree on whether they are neighbours.
+//! A service of up to seven targets is a full mesh.
 
 use std::hash::Hasher;
 
@@ -11,16 +11,17 @@
 use siphasher::sip::SipHasher13;
 
 /// Neighbours on each side.
-const REACH: usize = 3;
+const NEIGHBOURS_PER_SIDE: usize = 3;
 
-/// The neighbours of `own` among the agents of its service.
+/// Returns the neighbours of `own` among the agents of its service.
 #[must_use]
 pub fn ring_neighbours(
     own: AgentAddress,
     agents: impl Iterator<Item = AgentAddress>,
 ) -> Vec<AgentAddress> {
-    let mut ring: Vec<(u64, AgentAddress)> = agents.map(|agent| (place(agent), agent)).collect();
-    ring.push((place(own), own));
+    let mut ring: Vec<(u64, AgentAddress)> =
+        agents.map(|agent| (ring_position(agent), agent)).collect();
+    ring.push((ring_position(own), own));
     ring.sort_unstable();
     ring.dedup();
     let length = ring.len();
@@ -28,8 +29,8 @@
         .iter()
         .position(|&(_, agent)| agent == own)
         .unwrap_or(0);
-    let mut neighbours = Vec::with_capacity(2 * REACH);
-    for step in 1..=REACH {
+    let mut neighbours = Vec::with_capacity(2 * NEIGHBOURS_PER_SIDE);
+    for step in 1..=NEIGHBOURS_PER_SIDE {
         for position in [(at + step) % length, (at + length - step % length) % length] {
             let agent = ring[position].1;
             if agent != own && !neighbours.contains(&agent) {
@@ -40,7 +41,7 @@
     neighbours
 }
 
-fn place(agent: AgentAddress) -> u64 {
+fn ring_position(agent: AgentAddress) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7269, 0x6e67);
     hasher.write(&agent.0.ip().octets());
     hasher.write(&agent.0.port().to_be_bytes());
--- a/crates/membership/src/rumor.rs
+++ b/crates/membership/src/rumor.rs
@@ -1,8 +1,8 @@
-//! Events on their way through the fleet.
+//! The queue of events that this process relays.
 //!
-//! Each process passes an event on in a few rounds of heads and then no more. Four rounds to
-//! three processes are 12 sends: of many receivers, e^-12 or 6 in a million miss an event, and
-//! hear of it from the list, late.
+//! Each process relays an event in a few rounds of heads and then drops it. Four rounds with a
+//! fan-out of three are 12 sends: in a large fleet, e^-12 or 6 processes in a million miss an event
+//! and learn of it later from the list.
 
 use std::collections::VecDeque;
 
@@ -10,62 +10,63 @@
 
 use crate::message::{AccusedSubject, MAX_HEAD_EVENTS, MemberEvent};
 
-/// Rounds in which a process passes an event on.
-const RELAY_ROUNDS: u8 = 4;
+/// Rounds in which a departure is relayed.
+const DEPARTURE_RELAY_ROUNDS: u8 = 4;
 
-/// The same for arrivals, which are repeated and then listed.
-const ARRIVAL_ROUNDS: u8 = 2;
+/// Rounds in which an arrival is relayed. Fewer, because arrivals are repeated and later listed.
+const ARRIVAL_RELAY_ROUNDS: u8 = 2;
 
-/// The same for accusations, which cost little where they are missed.
-const ACCUSATION_ROUNDS: u8 = 2;
+/// Rounds in which an accusation of an agent is relayed. Fewer, because a missed one costs little.
+const ACCUSATION_RELAY_ROUNDS: u8 = 2;
 
-/// The same for a zone's loss, which many accuse at once.
-const ZONE_ROUNDS: u8 = 1;
+/// Rounds in which an accusation of a zone is relayed. Fewer, because many processes accuse it at
+/// once.
+const ZONE_RELAY_ROUNDS: u8 = 1;
 
-/// Events that wait at most; beyond, the oldest gives way.
-const MAX_WAITING: usize = 512;
+/// Upper bound of queued events; beyond it, the last one in the queue is dropped.
+const MAX_QUEUED_EVENTS: usize = 512;
 
-/// Events that this process still passes on.
+/// Events to relay, each with its remaining rounds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RumorQueue {
-    waiting: VecDeque<(MemberEvent, u8)>,
+    queue: VecDeque<(MemberEvent, u8)>,
 }
 
 impl RumorQueue {
-    /// Adds an event; one's own departure goes before others' accusations.
+    /// Queues an event. Departures go first.
     pub(crate) fn push(&mut self, event: MemberEvent) {
-        if self.waiting.len() >= MAX_WAITING {
-            self.waiting.pop_back();
+        if self.queue.len() >= MAX_QUEUED_EVENTS {
+            self.queue.pop_back();
         }
         match event {
-            MemberEvent::Departure(_) => self.waiting.push_front((event, RELAY_ROUNDS)),
-            MemberEvent::Arrival(_) => self.waiting.push_back((event, ARRIVAL_ROUNDS)),
+            MemberEvent::Departure(_) => self.queue.push_front((event, DEPARTURE_RELAY_ROUNDS)),
+            MemberEvent::Arrival(_) => self.queue.push_back((event, ARRIVAL_RELAY_ROUNDS)),
             MemberEvent::Accusation(accusation) => {
                 let rounds = match accusation.subject {
-                    AccusedSubject::Agent(_) => ACCUSATION_ROUNDS,
-                    AccusedSubject::Zone(_) => ZONE_ROUNDS,
+                    AccusedSubject::Agent(_) => ACCUSATION_RELAY_ROUNDS,
+                    AccusedSubject::Zone(_) => ZONE_RELAY_ROUNDS,
                 };
-                self.waiting.push_back((event, rounds));
+                self.queue.push_back((event, rounds));
             }
         }
     }
 
-    /// Whether events wait.
+    /// Returns whether no events are queued.
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queue.is_empty()
     }
 
-    /// The events for the heads of one round.
+    /// Takes the events for the heads of one round.
     pub(crate) fn next_round(&mut self) -> SmallVec<[MemberEvent; 2]> {
         let mut events = SmallVec::new();
-        let count = self.waiting.len().min(MAX_HEAD_EVENTS);
+        let count = self.queue.len().min(MAX_HEAD_EVENTS);
         for _ in 0..count {
-            let Some((event, rounds)) = self.waiting.pop_front() else {
+            let Some((event, rounds)) = self.queue.pop_front() else {
                 break;
             };
             events.push(event);
             if rounds > 1 {
-                self.waiting.push_back((event, rounds - 1));
+                self.queue.push_back((event, rounds - 1));
             }
         }
         events
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,38 +1,39 @@
-//! A table whose rows remember at which revision they last changed.
+//! A table index with the revision at which each row last changed.
 //!
-//! Why: a whole configuration or instance list at full size is larger than a node may send in
-//! many minutes. Each row carries the revision at which it changed (or a later one, when the
-//! holder slept through some), so a holder can answer "what changed after revision N" for any N
-//! without a log of past changes. Sending a row too many is harmless. A row too few is possible:
-//! a holder that skipped the revisions in which a row came and went cannot tell others of its
-//! removal. That shows as a wrong digest, and the receiver then asks for the whole table.
+//! At full size, a whole configuration or instance list is larger than what a node may send in many
+//! minutes. Each row therefore carries the revision at which it changed (or a later one, if the
+//! holder skipped revisions), so a holder can answer "what changed after revision N" for any N
+//! without a log of past changes. A superfluous row in the answer is harmless. A missing row is
+//! possible: a holder that skipped the revisions in which a row was added and removed cannot report
+//! its removal. The receiver detects this by a digest mismatch and requests the whole table.
 //!
 //! ```text
-//! rows    a  b  c  d          digest = sum of the rows' hashes, so one row's
-//! stamps  3  7  3  5          change updates it without reading the others
-//! removed (e, 6)   floor 2    below the floor removals are forgotten: whole table
+//! rows    a  b  c  d          digest = sum of the row hashes, so a change of one
+//! stamps  3  7  3  5          row updates it without reading the others
+//! removed (e, 6)   floor 2    removals up to the floor are forgotten: requests
+//!                             from below it get the whole table
 //! ```
 
 use std::collections::BTreeMap;
 
 use crate::delta::{
-    RowChange, TableDelta, TableError, TableHead, TableRow, compare, find, plan, row_hash,
-    without_doubles,
+    RowChange, TableDelta, TableError, TableHead, TableRow, diff_rows, find, planned_changes,
+    row_hash, without_duplicates,
 };
 
-/// How many removals are remembered before the oldest are forgotten.
+/// Removals that are kept before the oldest are forgotten.
 const MAX_REMOVED_ROWS: usize = 4096;
 
-/// From this many changes on, the table is rebuilt in one pass.
+/// Above this number of changes, the table is rebuilt in one pass.
 const BULK_CHANGES: usize = 32;
 
-/// The versions of a table's rows; the rows themselves are kept by the owner, sorted by key.
+/// The revisions of a table's rows. The owner holds the rows themselves, sorted by key.
 #[derive(Clone, Debug)]
 pub struct TableIndex<K> {
     head: TableHead,
-    /// Invariant: one for each row, in the rows' order.
+    /// Invariant: one for each row, in the same order.
     stamps: Vec<u64>,
-    /// Invariant: in order of their revisions.
+    /// Invariant: sorted by revision.
     removed: Vec<(u64, K)>,
     floor: u64,
 }
@@ -49,22 +50,22 @@
 }
 
 impl<K: Ord + Clone> TableIndex<K> {
-    /// The state held.
+    /// Returns the revision and digest of the table.
     #[must_use]
     pub fn head(&self) -> TableHead {
         self.head
     }
 
-    /// What changed after `revision`; the whole table when that is not known any more.
+    /// Returns the changes after `revision`, or the whole table if they are no longer known.
     #[must_use]
     pub fn delta_since<V: TableRow<Key = K>>(&self, rows: &[V], revision: u64) -> TableDelta<K, V> {
-        let whole = revision < self.floor || revision == 0;
-        let after = if whole { 0 } else { revision };
+        let full = revision < self.floor || revision == 0;
+        let after = if full { 0 } else { revision };
         let stamped = self.stamps.iter().copied().zip(rows);
-        let changed = stamped.filter(|&(stamp, _)| whole || stamp > after);
+        let changed = stamped.filter(|&(stamp, _)| full || stamp > after);
         let removed = self.removed.iter().filter(|(stamp, _)| *stamp > after);
         TableDelta {
-            from: (!whole).then_some(revision),
+            from: (!full).then_some(revision),
             to: self.head,
             floor: self.floor,
             changed: changed.map(|(stamp, row)| (stamp, row.clone())).collect(),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The delta that makes `rows` into `next`, which is sorted by key without duplicates.
+    /// Returns the delta that turns `rows` into `next`, which is sorted by key without duplicates.
     #[must_use]
     pub fn delta_to<V: TableRow<Key = K>>(
         &self,
@@ -104,19 +105,19 @@
             digest = digest.wrapping_sub(row_hash(gone));
             removed.push((revision, gone.key()));
         }
-        // Before the first table nothing is known of earlier removals.
-        let first = self.head.revision == 0;
+        // Before the first table, earlier removals are unknown.
+        let is_first = self.head.revision == 0;
         TableDelta {
-            from: (!first).then_some(self.head.revision),
+            from: (!is_first).then_some(self.head.revision),
             to: TableHead { revision, digest },
-            floor: if first { revision } else { self.floor },
+            floor: if is_first { revision } else { self.floor },
             changed,
             removed,
         }
     }
 
-    /// The delta that writes `changed` and removes `removed`, each key at most once in all, at
-    /// the cost of the changed rows alone.
+    /// Returns the delta that writes `changed` and removes `removed`, each key at most once in
+    /// total. The cost depends only on the changed rows.
     #[must_use]
     pub fn delta_of<V: TableRow<Key = K>>(
         &self,
@@ -144,11 +145,11 @@
         }
     }
 
-    /// Applies a delta to the rows and returns what changed.
+    /// Applies a delta to the rows and returns the row changes.
     ///
     /// # Errors
     ///
-    /// A [`TableError`]; rows and index are unchanged then.
+    /// Returns a [`TableError`] if the delta was refused; rows and index are then unchanged.
     pub fn apply<V: TableRow<Key = K>>(
         &mut self,
         rows: &mut Vec<V>,
@@ -162,16 +163,16 @@
                 held,
             });
         }
-        self.force(rows, delta)
+        self.apply_authoritative(rows, delta)
     }
 
-    /// Applies a delta even when it leads to the revision held; only for what the platform
-    /// itself answered.
+    /// Applies a delta even if it leads to the revision already held. Only for answers of the
+    /// platform itself.
     ///
     /// # Errors
     ///
-    /// A [`TableError`]; rows and index are unchanged then.
-    pub(crate) fn force<V: TableRow<Key = K>>(
+    /// Returns a [`TableError`] if the delta was refused; rows and index are then unchanged.
+    pub(crate) fn apply_authoritative<V: TableRow<Key = K>>(
         &mut self,
         rows: &mut Vec<V>,
         delta: TableDelta<K, V>,
@@ -182,7 +183,7 @@
                 from,
                 held: self.head.revision,
             }),
-            Some(_) => self.merge(rows, without_doubles(delta)),
+            Some(_) => self.merge(rows, without_duplicates(delta)),
         }
     }
 
@@ -202,7 +203,7 @@
                 revision: delta.to.revision,
             });
         }
-        let changes = compare(rows, &next);
+        let changes = diff_rows(rows, &next);
         *rows = next;
         self.stamps = stamps;
         self.removed = delta.removed;
@@ -217,7 +218,7 @@
         rows: &mut Vec<V>,
         delta: TableDelta<K, V>,
     ) -> Result<Vec<RowChange<V>>, TableError> {
-        let changes = plan(rows, &delta);
+        let changes = planned_changes(rows, &delta);
         let mut digest = self.head.digest;
         for change in &changes {
             digest = digest
@@ -235,11 +236,11 @@
             self.patch(rows, delta.changed, delta.removed);
         }
         self.head = delta.to;
-        self.forget_old_removals();
+        self.trim_removals();
         Ok(changes)
     }
 
-    /// Changes few rows in place.
+    /// Applies a few changes in place.
     fn patch<V: TableRow<Key = K>>(
         &mut self,
         rows: &mut Vec<V>,
@@ -254,8 +255,8 @@
         }
     }
 
-    /// Changes many rows in one pass: inserting each in place would move the rows behind it
-    /// once for each, seconds of work when a zone comes back.
+    /// Applies many changes in one pass. In-place inserts would move all following rows each time,
+    /// which takes seconds when a zone comes back.
     fn rebuild<V: TableRow<Key = K>>(
         &mut self,
         rows: &mut Vec<V>,
@@ -323,7 +324,7 @@
         }
     }
 
-    fn forget_old_removals(&mut self) {
+    fn trim_removals(&mut self) {
         let excess = self.removed.len().saturating_sub(MAX_REMOVED_ROWS);
         for (stamp, _) in self.removed.drain(..excess) {
             self.floor = self.floor.max(stamp);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,8 +1,8 @@
-//! One process's view of the fleet at one moment: what the configuration says, and which
-//! instances are listed, leaving or suspected.
+//! A snapshot of the fleet as one process knows it: the configuration, and which instances are
+//! listed, leaving or suspected.
 //!
-//! A view decides only where *new* flows and *new* requests go. Open flows and once-only
-//! requests name their own home, so two processes whose views differ never split one.
+//! A view decides only where *new* flows and *new* requests go. Open flows and once-only requests
+//! carry their own home, so two processes with different views never split one.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -15,30 +15,30 @@
 use lovagelatch_settings::ServiceText;
 use serde::{Deserialize, Serialize};
 
-/// What a process holds of a target, most usable first.
+/// Whether a target may receive new work, most usable first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetStanding {
-    /// It takes new work.
+    /// The target accepts new work.
     Live,
-    /// Two peers lost touch with it; it is avoided until that expires.
+    /// At least two neighbours accuse the target; it is avoided until the accusations expire.
     Suspected,
-    /// It takes no new work.
+    /// The target accepts no new work.
     Leaving,
 }
 
-/// One target as a view holds it.
+/// A target in a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewTarget {
-    /// The platform's number for it.
+    /// Id that the platform assigned.
     pub id: TargetId,
-    /// Its agent.
+    /// Address of the agent's control socket.
     pub agent: AgentAddress,
-    /// Where its agent serves operations.
+    /// Address of the agent's operations endpoint.
     pub operations: SocketAddrV4,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: ZoneName,
-    /// Its slots. Invariant: at least 1.
+    /// Number of slots. Invariant: at least 1.
     pub slots: u16,
     /// Whether new work may go there.
     pub standing: TargetStanding,
@@ -60,30 +60,30 @@
     }
 }
 
-/// What an address leads to.
+/// Service and agency of an advertised address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct AddressEntry {
     service: ServiceId,
     agency: Option<AgencyName>,
 }
 
-/// A view of the fleet. It is never changed in place: a newer one takes its place.
+/// A view of the fleet. A published view is immutable: a newer one replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     revision: ConfigRevision,
     list_revision: ListRevision,
     text: Arc<ServiceText>,
-    /// Invariant: holds every address of `text`. Shared by views of one text.
+    /// Invariant: holds every address of `text`. Shared by views of the same text.
     addresses: Arc<HashMap<SocketAddrV4, AddressEntry>>,
-    /// Invariant: sorted by the platform's numbers, so that equal views are equal everywhere;
-    /// no list is empty. A service's targets are shared by all views in which they are equal,
-    /// so that a new view costs what changed and not what is listed.
+    /// Invariant: sorted by target id, so that equal views are equal in every process; no list is
+    /// empty. The targets of a service are shared by all views in which they are equal, so that the
+    /// cost of a new view depends on the changes and not on the size of the list.
     targets: HashMap<ServiceId, Arc<Vec<ViewTarget>>>,
     balancers: Arc<Vec<BalancerRecord>>,
 }
 
 impl FleetView {
-    /// A view of an accepted text and an instance list.
+    /// Creates a view of an accepted text and an instance list.
     #[must_use]
     pub fn new(revision: ConfigRevision, text: Arc<ServiceText>, list: &InstanceList) -> Self {
         let mut view = Self {
@@ -91,7 +91,7 @@
             text,
             ..Self::default()
         };
-        view.addresses = Arc::new(addresses_of(&view.text));
+        view.addresses = Arc::new(address_index(&view.text));
         view.list_revision = list.revision;
         view.balancers = Arc::new(list.balancers.clone());
         let mut targets: HashMap<ServiceId, Vec<ViewTarget>> = HashMap::new();
@@ -110,15 +110,15 @@
     pub(crate) fn set_text(&mut self, revision: ConfigRevision, text: &Arc<ServiceText>) {
         self.revision = revision;
         self.text = Arc::clone(text);
-        self.addresses = Arc::new(addresses_of(text));
+        self.addresses = Arc::new(address_index(text));
     }
 
-    /// Sets the list's number.
+    /// Sets the revision of the instance list.
     pub(crate) fn set_list_revision(&mut self, revision: ListRevision) {
         self.list_revision = revision;
     }
 
-    /// Adds a target, or replaces the one with its number.
+    /// Inserts a target, or replaces the one with the same id.
     pub(crate) fn put_target(&mut self, service: ServiceId, target: ViewTarget) {
         let targets = Arc::make_mut(self.targets.entry(service).or_default());
         match targets.binary_search_by_key(&target.id, |held| held.id) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes a target out, if that service lists it at that address.
+    /// Removes a target if the service has it at this address.
     pub(crate) fn remove_target(&mut self, service: ServiceId, id: TargetId, agent: AgentAddress) {
         let Some(held) = self.targets.get_mut(&service) else {
             return;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Sets what is held of one target of a service; whether that changed anything.
+    /// Sets the standing of a target; returns whether it changed.
     pub(crate) fn set_standing(
         &mut self,
         service: ServiceId,
@@ -165,7 +165,7 @@
         true
     }
 
-    /// Gives back what the lists of targets reserve beyond their length.
+    /// Releases spare capacity of the target lists.
     pub(crate) fn shrink(&mut self) {
         for held in self.targets.values_mut() {
             if let Some(targets) = Arc::get_mut(held) {
@@ -174,19 +174,19 @@
         }
     }
 
-    /// Replaces the entry instances.
+    /// Replaces the balancers.
     pub(crate) fn set_balancers(&mut self, balancers: Vec<BalancerRecord>) {
         self.balancers = Arc::new(balancers);
     }
 
-    /// Changes what is held of one agent's target: its own announcement, or its peers'.
+    /// Sets the standing of the targets at an agent's address.
     #[must_use]
     pub fn with_standing(mut self, agent: AgentAddress, standing: TargetStanding) -> Self {
         for held in self.targets.values_mut() {
-            let concerned = |target: &ViewTarget| target.agent == agent;
-            if held.iter().any(concerned) {
+            let matches = |target: &ViewTarget| target.agent == agent;
+            if held.iter().any(matches) {
                 let targets = Arc::make_mut(held).iter_mut();
-                for target in targets.filter(|target| concerned(target)) {
+                for target in targets.filter(|target| matches(target)) {
                     target.standing = standing;
                 }
             }
@@ -194,37 +194,37 @@
         self
     }
 
-    /// The configuration's revision; 0 before any is known.
+    /// Returns the revision of the configuration; 0 before any is known.
     #[must_use]
     pub fn revision(&self) -> ConfigRevision {
         self.revision
     }
 
-    /// The instance list's revision.
+    /// Returns the revision of the instance list.
     #[must_use]
     pub fn list_revision(&self) -> ListRevision {
         self.list_revision
     }
 
-    /// The service text in force.
+    /// Returns the service text in force.
     #[must_use]
     pub fn text(&self) -> &Arc<ServiceText> {
         &self.text
     }
 
-    /// The service that an address leads to.
+    /// Returns the service that advertises an address.
     #[must_use]
     pub fn service_at(&self, address: SocketAddrV4) -> Option<ServiceId> {
         self.addresses.get(&address).map(|entry| entry.service)
     }
 
-    /// The agency that an address belongs to, if the text names one.
+    /// Returns the agency that an address is assigned to, if any.
     #[must_use]
     pub fn agency_at(&self, address: SocketAddrV4) -> Option<&AgencyName> {
         self.addresses.get(&address)?.agency.as_ref()
     }
 
-    /// The targets of a service in order of their numbers, whatever their standing.
+    /// Returns the targets of a service, sorted by id, whatever their standing.
     #[must_use]
     pub fn targets(&self, service: ServiceId) -> &[ViewTarget] {
         self.targets
@@ -232,18 +232,18 @@
             .map_or(&[], |held| held.as_slice())
     }
 
-    /// The services that have listed targets.
+    /// Returns the services that have targets.
     pub fn services(&self) -> impl Iterator<Item = ServiceId> + '_ {
         self.targets.keys().copied()
     }
 
-    /// The entry instances.
+    /// Returns the listed balancers.
     #[must_use]
     pub fn balancers(&self) -> &[BalancerRecord] {
         &self.balancers
     }
 
-    /// Whether backend servers of `service` may call `dependency`.
+    /// Returns whether backend servers of `service` may call `dependency`.
     #[must_use]
     pub fn may_call(&self, service: &ServiceName, dependency: &ServiceName) -> bool {
         let entry = self.text.service(service.as_str());
@@ -251,7 +251,7 @@
     }
 }
 
-fn addresses_of(text: &ServiceText) -> HashMap<SocketAddrV4, AddressEntry> {
+fn address_index(text: &ServiceText) -> HashMap<SocketAddrV4, AddressEntry> {
     let mut addresses = HashMap::new();
     for service in &text.services {
         for address in &service.addresses {
--- a/crates/membership/tests/all/config.rs
+++ b/crates/membership/tests/all/config.rs
@@ -1,10 +1,10 @@
-//! Which offers of a configuration are taken.
+//! Rules by which a configuration is accepted.
 
 use lovagelatch_capacity::rig_text;
 use lovagelatch_domain::ConfigRevision;
-use lovagelatch_membership::{ConfigError, ConfigKeeper, ConfigVerdict, TableError};
+use lovagelatch_membership::{ConfigError, ConfigOutcome, ConfigTable, TableError};
 
-/// An offer by the platform: revision, and which text.
+/// A configuration read from the platform: its revision and content.
 #[derive(Clone, Copy, Debug)]
 struct Offer(u64, Content);
 
@@ -14,76 +14,76 @@
     Invalid,
 }
 
-struct KeeperCase {
+struct OfferCase {
     name: &'static str,
     offers: &'static [Offer],
     in_force: u64,
-    judged: u64,
+    evaluated: u64,
 }
 
-fn offer(keeper: &mut ConfigKeeper, offer: Offer) -> Result<ConfigVerdict, ConfigError> {
+fn offer(table: &mut ConfigTable, offer: Offer) -> Result<ConfigOutcome, ConfigError> {
     let text = match offer.1 {
         Content::Text(change) => rig_text(3, 2, change),
         Content::Invalid => "address = 1\n".to_owned(),
     };
-    keeper.offer_text(ConfigRevision(offer.0), &text)
+    table.offer_text(ConfigRevision(offer.0), &text)
 }
 
 #[test]
 fn highest_sound_revision_is_in_force() {
     use Content::{Invalid, Text};
     let cases = [
-        KeeperCase {
+        OfferCase {
             name: "first",
             offers: &[Offer(5, Text(0))],
             in_force: 5,
-            judged: 5,
+            evaluated: 5,
         },
-        KeeperCase {
+        OfferCase {
             name: "lower after higher",
             offers: &[Offer(5, Text(0)), Offer(4, Text(1))],
             in_force: 5,
-            judged: 5,
+            evaluated: 5,
         },
-        KeeperCase {
+        OfferCase {
             name: "invalid between",
             offers: &[Offer(5, Text(0)), Offer(6, Invalid), Offer(7, Text(1))],
             in_force: 7,
-            judged: 7,
+            evaluated: 7,
         },
-        KeeperCase {
+        OfferCase {
             name: "invalid last",
             offers: &[Offer(5, Text(0)), Offer(6, Invalid), Offer(6, Invalid)],
             in_force: 5,
-            judged: 6,
+            evaluated: 6,
         },
-        KeeperCase {
+        OfferCase {
             name: "stale after invalid",
             offers: &[Offer(5, Text(0)), Offer(6, Invalid), Offer(4, Text(1))],
             in_force: 5,
-            judged: 6,
+            evaluated: 6,
         },
     ];
     for case in cases {
-        let mut keeper = ConfigKeeper::default();
+        let mut table = ConfigTable::default();
         for &step in case.offers {
-            let _judged = offer(&mut keeper, step);
+            let _outcome = offer(&mut table, step);
         }
-        assert_eq!(keeper.revision().0, case.in_force, "{}", case.name);
-        assert_eq!(keeper.judged().0, case.judged, "{}", case.name);
+        assert_eq!(table.revision().0, case.in_force, "{}", case.name);
+        assert_eq!(table.evaluated().0, case.evaluated, "{}", case.name);
     }
 }
 
 #[test]
 fn platform_outranks_a_peer_but_not_itself() {
-    let mut platform = ConfigKeeper::default();
+    let mut platform = ConfigTable::default();
     offer(&mut platform, Offer(3, Content::Text(0))).unwrap();
     let again = offer(&mut platform, Offer(3, Content::Text(1)));
     assert_eq!(again, Err(ConfigError::Conflict { revision: 3 }));
 
-    let mut by_peer = ConfigKeeper::default();
+    let mut by_peer = ConfigTable::default();
     by_peer.offer_delta(platform.delta_since(0)).unwrap();
-    let mut other = ConfigKeeper::default();
+    let mut other = ConfigTable::default();
     offer(&mut other, Offer(3, Content::Text(1))).unwrap();
     let conflict = by_peer.offer_delta(other.delta_since(0));
     assert_eq!(conflict, Err(ConfigError::Conflict { revision: 3 }));
@@ -95,32 +95,31 @@
 #[test]
 fn layout_of_a_text_does_not_matter() {
     let text = rig_text(3, 2, 0);
-    let mut plain = ConfigKeeper::default();
+    let mut plain = ConfigTable::default();
     plain.offer_text(ConfigRevision(1), &text).unwrap();
-    let mut spaced = ConfigKeeper::default();
+    let mut spaced = ConfigTable::default();
     let with_comment = format!("; a comment\n\n{text}");
     spaced.offer_text(ConfigRevision(1), &with_comment).unwrap();
     assert_eq!(plain.head(), spaced.head());
 }
 
-// Symptom: a process holds services that nobody published.
-// Sequence: a delta is applied to another state than the one it was made for, or damaged.
-// Cause: the result was not compared with the promised digest.
+// Guards against a process that holds services nobody published: a delta is applied to a state it
+// was not made for, or is damaged, and the digest of the result is not checked.
 #[test]
 fn delta_that_does_not_fit_changes_nothing() {
-    let mut ahead = ConfigKeeper::default();
+    let mut ahead = ConfigTable::default();
     for revision in 1..=4 {
         let change = Content::Text(u32::try_from(revision).unwrap());
         offer(&mut ahead, Offer(revision, change)).unwrap();
     }
-    let mut behind = ConfigKeeper::default();
+    let mut behind = ConfigTable::default();
     offer(&mut behind, Offer(1, Content::Text(1))).unwrap();
     let before = behind.head();
     let gap = behind.offer_delta(ahead.delta_since(3));
     let expected = TableError::Gap { from: 3, held: 1 };
     assert_eq!(gap, Err(ConfigError::Delta(expected)));
     let mut damaged = ahead.delta_since(1);
-    // The row that differs between the two revisions.
+    // Drops the row that differs between the two revisions.
     damaged
         .changed
         .retain(|(_, row)| row.name.as_str() != "service-1");
--- a/crates/membership/tests/all/faults.rs
+++ b/crates/membership/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault at every step of the way of a configuration.
+//! Faults injected while configurations are published.
 
 use std::time::Duration;
 
@@ -11,37 +11,37 @@
 
 const SERVICES: u32 = 2;
 
-/// What goes wrong.
+/// The injected fault.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     PlatformDown,
     PlatformStale,
-    LostFrames,
-    DoubledFrames,
-    LateFrames,
-    ZoneCutOff,
-    ZoneCutOneWay,
-    HalfCutFromPlatform,
-    MemberSleeps,
+    DroppedFrames,
+    DuplicatedFrames,
+    DelayedFrames,
+    ZonePartitioned,
+    ZonePartitionedOneWay,
+    HalfWithoutPlatform,
+    MemberPaused,
     MemberRestarts,
-    ReadersKilled,
+    ReadersStopped,
 }
 
 const FAULTS: [Fault; 11] = [
     Fault::PlatformDown,
     Fault::PlatformStale,
-    Fault::LostFrames,
-    Fault::DoubledFrames,
-    Fault::LateFrames,
-    Fault::ZoneCutOff,
-    Fault::ZoneCutOneWay,
-    Fault::HalfCutFromPlatform,
-    Fault::MemberSleeps,
+    Fault::DroppedFrames,
+    Fault::DuplicatedFrames,
+    Fault::DelayedFrames,
+    Fault::ZonePartitioned,
+    Fault::ZonePartitionedOneWay,
+    Fault::HalfWithoutPlatform,
+    Fault::MemberPaused,
     Fault::MemberRestarts,
-    Fault::ReadersKilled,
+    Fault::ReadersStopped,
 ];
 
-/// What operators do meanwhile.
+/// What an operator does in one step.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Publish,
@@ -66,34 +66,34 @@
         Fault::PlatformDown => rig.set_platform(PlatformState::Down),
         Fault::PlatformStale => {
             rig.set_platform(PlatformState::Stale(1));
-            // Some read it again, as after a pause, and are offered the old revision.
+            // Some members read again, as after a pause, and get the old revision.
             let now = rig.now;
             for node in rig.nodes.iter_mut().step_by(3) {
-                node.member.refresh_soon(now);
+                node.member.resync(now);
             }
         }
-        Fault::LostFrames => rig.network.drop = 0.5,
-        Fault::DoubledFrames => rig.network.duplicate = 0.9,
-        Fault::LateFrames => rig.network.late = 0.7,
-        Fault::ZoneCutOff | Fault::ZoneCutOneWay => {
+        Fault::DroppedFrames => rig.network.drop = 0.5,
+        Fault::DuplicatedFrames => rig.network.duplicate = 0.9,
+        Fault::DelayedFrames => rig.network.late = 0.7,
+        Fault::ZonePartitioned | Fault::ZonePartitionedOneWay => {
             for other in ["zone-0", "zone-1", "zone-2"] {
                 rig.cuts.push((zone("zone-3"), zone(other)));
-                if matches!(fault, Fault::ZoneCutOff) {
+                if matches!(fault, Fault::ZonePartitioned) {
                     rig.cuts.push((zone(other), zone("zone-3")));
                 }
             }
             rig.platform_cuts.push(zone("zone-3"));
         }
-        Fault::HalfCutFromPlatform => {
+        Fault::HalfWithoutPlatform => {
             rig.platform_cuts = vec![zone("zone-0"), zone("zone-1")];
             rig.answer_watches();
         }
-        Fault::MemberSleeps => rig.nodes[2].paused = true,
+        Fault::MemberPaused => rig.nodes[2].paused = true,
         Fault::MemberRestarts => {
             let zone = rig.nodes[2].zone.clone();
             rig.add_member(rig_address(2), zone, None);
         }
-        Fault::ReadersKilled => {
+        Fault::ReadersStopped => {
             let now = rig.now;
             let readers = rig.nodes.iter_mut();
             for node in readers
@@ -133,8 +133,8 @@
     }
 }
 
-/// The content that a view must have by its revision: an invalid text never comes into force.
-fn is_sound(view: &FleetView, texts: &[String]) -> bool {
+/// Checks that a view has the content published under its revision, and that this content is valid.
+fn is_valid_view(view: &FleetView, texts: &[String]) -> bool {
     let number = usize::try_from(view.revision().0).unwrap();
     let Some(published) = number.checked_sub(1).and_then(|at| texts.get(at)) else {
         return number == 0;
@@ -148,7 +148,7 @@
     })
 }
 
-/// Lets time pass and checks that no view reverts or holds what was not accepted.
+/// Runs the rig and checks that no view reverts to a lower revision or holds an invalid content.
 fn run_checked(rig: &mut MemberRig, time: Duration, held: &mut [u64], restarted: Option<usize>) {
     let steps = time.as_millis() / 200;
     for _ in 0..steps {
@@ -164,16 +164,15 @@
                 revision >= held[number] || fresh,
                 "member {number} reverted"
             );
-            assert!(is_sound(view, &rig.platform.texts), "member {number}");
+            assert!(is_valid_view(view, &rig.platform.texts), "member {number}");
             held[number] = revision;
         }
     }
 }
 
-// Symptom: a balancer reverts to an older configuration, takes an invalid one, or stays behind
-// for good after a fault.
-// Sequence: five steps of an operator; the fault starts before one of them and ends after it.
-// Cause: any place that takes a lower revision, or that forgets to ask again.
+// Guards against a balancer that reverts to an older configuration, applies an invalid one, or
+// permanently stays behind after a fault, because some path accepts a lower revision or does not
+// retry. An operator takes five steps; the fault starts before one of them and ends after it.
 #[test]
 fn every_fault_at_every_step_converges_without_reverting() {
     let mut failures = Vec::new();
@@ -203,9 +202,8 @@
     assert!(failures.is_empty(), "not converged: {failures:?}");
 }
 
-// Symptom: a process that was stopped accuses all its peers when it wakes.
-// Sequence: an agent is stopped for 20 s while its peers run on, then goes on.
-// Cause: it took its own gap for their silence.
+// Guards against a stopped process that accuses all its peers when it resumes, because it takes its
+// own pause for their silence. One agent is stopped for 20 s while its peers continue.
 #[test]
 fn paused_member_accuses_nobody() {
     let mut rig = settled_fleet(4, SERVICES, 7);
@@ -218,7 +216,7 @@
     assert_eq!(rig.nodes[6].member.view().revision().0, 2);
     for node in &rig.nodes {
         let status = node.member.status(rig.now);
-        let own = rig.nodes[6].member.settings().own;
+        let own = rig.nodes[6].member.settings().control;
         let others: Vec<_> = status
             .suspected
             .iter()
@@ -229,9 +227,9 @@
     }
 }
 
-// Symptom: the whole fleet takes another content under the same revision from one process.
-// Sequence: a member holds revision 1 with a content that the platform never published.
-// Cause: the digest was not compared, or a peer's word was taken over the platform's.
+// Guards against one process replacing the content of a revision in the whole fleet: the digest is
+// not compared, or a peer's content is preferred to the platform's. One member holds revision 1
+// with a content that the platform never published.
 #[test]
 fn other_content_under_the_same_revision_does_not_spread() {
     let mut rig = settled_fleet(4, SERVICES, 7);
@@ -251,6 +249,6 @@
     let sound = rig
         .nodes
         .iter()
-        .filter(|node| is_sound(node.member.view(), &texts));
+        .filter(|node| is_valid_view(node.member.view(), &texts));
     assert_eq!(sound.count(), rig.running() - 1);
 }
--- a/crates/membership/tests/all/liveness.rs
+++ b/crates/membership/tests/all/liveness.rs
@@ -1,12 +1,12 @@
-//! Suspicions, zones and departures.
+//! Suspicion of agents and zones, and departures.
 
 use std::time::Duration;
 
 use lovagelatch_capacity::{MemberRig, rig_address, rig_list, rig_text};
 use lovagelatch_domain::{AgentAddress, GateReport, Incarnation, Moment, ServiceId, ZoneName};
 use lovagelatch_membership::{
-    ACCUSATION_LIFETIME, AccusationEvent, AccusationTracker, AccusedSubject, DepartureEvent,
-    DepartureTracker, DueWord, MemberAction, MemberMessage, MemberNotice, NeighbourWatch,
+    ACCUSATION_TTL, AccusationEvent, AccusationTracker, AccusedSubject, DepartureEvent,
+    DepartureTracker, DueAccusation, MemberAction, MemberMessage, MemberNotice, NeighbourMonitor,
     PeerHeartbeat, PlatformCall, TargetStanding, ZoneId,
 };
 
@@ -14,7 +14,7 @@
 
 const NOW: Moment = Moment::from_millis(60_000);
 
-fn word(accuser: u32, service: u32, serial: u32, holds: bool) -> AccusationEvent {
+fn accusation(accuser: u32, service: u32, serial: u32, holds: bool) -> AccusationEvent {
     AccusationEvent {
         subject: AccusedSubject::Agent(rig_address(9)),
         accuser: rig_address(accuser),
@@ -26,7 +26,7 @@
 
 struct AccusationCase {
     name: &'static str,
-    words: Vec<AccusationEvent>,
+    accusations: Vec<AccusationEvent>,
     suspected: bool,
 }
 
@@ -35,51 +35,51 @@
     let cases = [
         AccusationCase {
             name: "none",
-            words: vec![],
+            accusations: vec![],
             suspected: false,
         },
         AccusationCase {
             name: "one",
-            words: vec![word(1, 1, 1, true)],
+            accusations: vec![accusation(1, 1, 1, true)],
             suspected: false,
         },
         AccusationCase {
             name: "one, often",
-            words: vec![
-                word(1, 1, 1, true),
-                word(1, 1, 2, true),
-                word(1, 1, 3, true),
+            accusations: vec![
+                accusation(1, 1, 1, true),
+                accusation(1, 1, 2, true),
+                accusation(1, 1, 3, true),
             ],
             suspected: false,
         },
         AccusationCase {
             name: "two",
-            words: vec![word(1, 1, 1, true), word(2, 1, 1, true)],
+            accusations: vec![accusation(1, 1, 1, true), accusation(2, 1, 1, true)],
             suspected: true,
         },
         AccusationCase {
             name: "two, one withdrawn",
-            words: vec![
-                word(1, 1, 1, true),
-                word(2, 1, 1, true),
-                word(2, 1, 2, false),
+            accusations: vec![
+                accusation(1, 1, 1, true),
+                accusation(2, 1, 1, true),
+                accusation(2, 1, 2, false),
             ],
             suspected: false,
         },
         AccusationCase {
-            name: "withdrawn, then the earlier word late",
-            words: vec![
-                word(1, 1, 1, true),
-                word(2, 1, 2, false),
-                word(2, 1, 1, true),
+            name: "withdrawn, then the earlier accusation arrives",
+            accusations: vec![
+                accusation(1, 1, 1, true),
+                accusation(2, 1, 2, false),
+                accusation(2, 1, 1, true),
             ],
             suspected: false,
         },
     ];
     for case in cases {
         let mut tracker = AccusationTracker::default();
-        for event in &case.words {
-            tracker.note(event, NOW);
+        for event in &case.accusations {
+            tracker.record(event, NOW);
         }
         let subject = AccusedSubject::Agent(rig_address(9));
         assert_eq!(
@@ -88,7 +88,7 @@
             "{}",
             case.name
         );
-        let later = NOW + ACCUSATION_LIFETIME;
+        let later = NOW + ACCUSATION_TTL;
         assert!(
             !tracker.is_suspected(subject, later),
             "{} expires",
@@ -102,12 +102,12 @@
     let subject = AccusedSubject::Zone(ZoneId(5));
     let about_zone = |accuser, service| AccusationEvent {
         subject,
-        ..word(accuser, service, 1, true)
+        ..accusation(accuser, service, 1, true)
     };
     for (services, lost) in [([1, 1, 1], false), ([1, 1, 2], true)] {
         let mut tracker = AccusationTracker::default();
         for (accuser, service) in (1..).zip(services) {
-            tracker.note(&about_zone(accuser, service), NOW);
+            tracker.record(&about_zone(accuser, service), NOW);
         }
         assert_eq!(tracker.is_suspected(subject, NOW), lost, "{services:?}");
     }
@@ -123,13 +123,13 @@
     for order in [[false, true], [true, false]] {
         let mut tracker = DepartureTracker::default();
         for refuted in order {
-            tracker.note(event(refuted), NOW);
+            tracker.record(event(refuted), NOW);
         }
         assert!(!tracker.is_leaving(rig_address(1)), "{order:?}");
     }
 }
 
-fn suspected_by_all(rig: &MemberRig, agents: &[AgentAddress], standing: TargetStanding) -> bool {
+fn all_balancers_hold(rig: &MemberRig, agents: &[AgentAddress], standing: TargetStanding) -> bool {
     let balancers = rig.nodes.iter().filter(|node| node.running);
     let mut balancers = balancers.filter(|node| node.member.settings().service.is_none());
     balancers.all(|node| {
@@ -143,29 +143,28 @@
     })
 }
 
-// Symptom: new flows go to a dead backend server until the list forgets it.
-// Sequence: an agent dies without a word; later it runs again.
-// Cause: nobody noticed its silence, or the suspicion never ended.
+// Guards against new flows to a crashed backend server until it is delisted, and against a
+// suspicion that never ends. An agent stops without announcing it and later runs again.
 #[test]
 fn dead_agent_is_suspected_until_it_is_back() {
     let mut rig = settled_fleet(8, 4, 10);
     let agent = rig.platform.list.targets[5].agent;
     let number = rig.number_of(agent).unwrap();
     rig.nodes[number].running = false;
-    let suspected = |rig: &MemberRig| suspected_by_all(rig, &[agent], TargetStanding::Suspected);
+    let suspected = |rig: &MemberRig| all_balancers_hold(rig, &[agent], TargetStanding::Suspected);
     let known = rig.run_until(8 * SECOND, suspected);
     println!("suspected by all balancers after {known:?}");
     assert!(known.is_some());
     rig.run(20 * SECOND);
     assert!(suspected(&rig), "it is still dead");
     rig.nodes[number].running = true;
-    let live = |rig: &MemberRig| suspected_by_all(rig, &[agent], TargetStanding::Live);
+    let live = |rig: &MemberRig| all_balancers_hold(rig, &[agent], TargetStanding::Live);
     assert!(rig.run_until(20 * SECOND, live).is_some());
 }
 
-// Symptom: after the loss of a zone, control traffic of all others rises for minutes.
-// Sequence: every process of one of eight zones stops at once.
-// Cause: every agent was accused by every neighbour.
+// Guards against control traffic of the whole fleet that rises for minutes after the loss of a
+// zone, because every agent is accused by every neighbour. All processes of one of eight zones stop
+// at once.
 #[test]
 fn lost_zone_is_one_event() {
     let list = rig_list(16, 24, 10, 8);
@@ -180,7 +179,7 @@
     }
     rig.reset_counts();
     let known = rig.run_until(10 * SECOND, |rig| {
-        suspected_by_all(rig, &lost, TargetStanding::Suspected)
+        all_balancers_hold(rig, &lost, TargetStanding::Suspected)
     });
     rig.run(10 * SECOND);
     let both = &rig.rates()["both"];
@@ -199,14 +198,14 @@
 
 struct SilenceCase {
     name: &'static str,
-    /// Neighbours that are heard to the end.
+    /// Neighbours that keep sending heartbeats.
     heard: &'static [u32],
     accused: &'static [u32],
 }
 
-// Symptom: a process that is cut off accuses everybody it knew.
-// Sequence: three neighbours are heard, then only some of them for ten seconds.
-// Cause: the silence of all was taken for the death of all.
+// Guards against an isolated process that accuses all its neighbours. Three neighbours send
+// heartbeats, then only some of them continue for ten seconds; silence of all of them must not
+// count as their failure.
 #[test]
 fn silence_of_all_neighbours_accuses_nobody() {
     let cases = [
@@ -234,39 +233,41 @@
     let zone_name: ZoneName = "zone-0".parse().unwrap();
     let zone = ZoneId::new(&zone_name);
     for case in cases {
-        let mut watch = NeighbourWatch::default();
+        let mut monitor = NeighbourMonitor::default();
         let neighbours = [1, 2, 3].map(|number| (rig_address(number), zone, zone_name.clone()));
-        watch.set_neighbours(neighbours.into_iter(), NOW);
+        monitor.set_neighbours(neighbours.into_iter(), NOW);
         let mut accused = Vec::new();
         for tick in 0..100 {
             let now = NOW + Duration::from_millis(100) * tick;
             for number in 1..=3 {
                 if tick == 0 || case.heard.contains(&number) {
-                    watch.note_heartbeat(heartbeat(number), now);
+                    monitor.record_heartbeat(heartbeat(number), now);
                 }
             }
-            watch.due_questions(now);
-            watch.due_probes(now);
-            // The zone answers: others of it are alive.
-            watch.note_zone_alive(zone);
-            accused.extend(watch.due_words(now));
+            monitor.due_peer_probes(now);
+            monitor.due_zone_probes(now);
+            // Other processes of the zone reply to the probe.
+            monitor.record_zone_alive(zone);
+            accused.extend(monitor.due_accusations(now));
         }
         accused.dedup();
         let expected: Vec<_> = case
             .accused
             .iter()
-            .map(|&number| DueWord {
+            .map(|&number| DueAccusation {
                 subject: AccusedSubject::Agent(rig_address(number)),
                 holds: true,
             })
             .collect();
-        let unlike = accused
+        let unexpected = accused
             .iter()
-            .filter(|word| !expected.contains(word))
+            .filter(|accusation| !expected.contains(accusation))
             .count();
-        assert_eq!(unlike, 0, "{}: {accused:?}", case.name);
+        assert_eq!(unexpected, 0, "{}: {accused:?}", case.name);
         assert!(
-            expected.iter().all(|word| accused.contains(word)),
+            expected
+                .iter()
+                .all(|accusation| accused.contains(accusation)),
             "{}",
             case.name
         );
@@ -281,9 +282,8 @@
     }
 }
 
-// Symptom: a process that was stopped acts on the view it had.
-// Sequence: it is stopped for 20 s; its first tick comes late.
-// Cause: the gap in its own time was not seen, or the view was not asked for again.
+// Guards against a process that acts on an old view after a pause, because it does not detect the
+// gap or does not resynchronize. It is stopped for 20 s, so its first tick is late.
 #[test]
 fn first_tick_after_a_pause_asks_again() {
     let mut rig = settled_fleet(4, 2, 7);
@@ -308,9 +308,8 @@
     assert!(has(asks_a_peer));
 }
 
-// Symptom: an agent whose own network failed accuses its whole service when it is back.
-// Sequence: one agent is cut off from everybody for 20 s.
-// Cause: it took its own isolation for the others' death.
+// Guards against an agent that accuses its whole service after its own network failed, because it
+// takes its isolation for the failure of the others. One agent is cut off from all others for 20 s.
 #[test]
 fn isolated_agent_accuses_nobody() {
     let mut rig = settled_fleet(4, 2, 7);
@@ -325,7 +324,7 @@
     rig.run(20 * SECOND);
     rig.cuts.clear();
     rig.run(Duration::from_millis(1_500));
-    let own = rig.nodes[number].member.settings().own;
+    let own = rig.nodes[number].member.settings().control;
     for node in &rig.nodes {
         let status = node.member.status(rig.now);
         assert!(
--- a/crates/membership/tests/all/main.rs
+++ b/crates/membership/tests/all/main.rs
@@ -2,8 +2,8 @@
 
 mod config;
 mod decoders;
+mod election;
 mod faults;
 mod liveness;
-mod lot;
 mod spread;
 mod table;
--- a/crates/routing/tests/all/absence.rs
+++ b/crates/routing/tests/all/absence.rs
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_suspicion_must_outlast_one_accusation() {
-    assert!(SUSPICION_LIMIT > lovagelatch_membership::ACCUSATION_LIFETIME);
+    assert!(SUSPICION_LIMIT > lovagelatch_membership::ACCUSATION_TTL);
 }
 
 /// Symptom: feeds of a draining agent are reset, or callers of a dead one wait for their idle
--- a/standins/capacity/src/fault_costs.rs
+++ b/standins/capacity/src/fault_costs.rs
@@ -156,7 +156,7 @@
         .filter(|node| node.zone == zone)
         .map(|node| {
             let settings = node.member.settings();
-            (settings.own, settings.service)
+            (settings.control, settings.service)
         })
         .collect();
     for (own, service) in members {
--- a/standins/capacity/src/list_costs.rs
+++ b/standins/capacity/src/list_costs.rs
@@ -5,7 +5,7 @@
 use lovagelatch_capacity::rig_address;
 use lovagelatch_domain::{AgentAddress, Incarnation, InstanceList, ServiceId, TargetId};
 use lovagelatch_membership::{
-    AccusationEvent, AccusedSubject, DepartureEvent, FleetMember, GossipHead, ListKeeper,
+    AccusationEvent, AccusedSubject, DepartureEvent, FleetMember, GossipHead, InstanceTable,
     MemberEvent, MemberMessage, TableHead, ZoneId,
 };
 use lovagelatch_routing::RoutingTable;
@@ -75,7 +75,7 @@
     let json = serde_json::to_vec(&list).expect("a list can be encoded");
     let (_, json_time) = timed(|| serde_json::from_slice::<InstanceList>(&json));
     let (keeper, keeper_bytes) = held_bytes(|| {
-        let mut keeper = ListKeeper::default();
+        let mut keeper = InstanceTable::default();
         keeper.offer_list(&list).expect("the first list");
         keeper
     });
--- a/standins/capacity/src/rig.rs
+++ b/standins/capacity/src/rig.rs
@@ -403,7 +403,7 @@
             return;
         };
         self.nodes[to].traffic.received += bytes as u64;
-        let address = self.nodes[from].member.settings().own;
+        let address = self.nodes[from].member.settings().control;
         self.deliver(to, Delivery::Answer(address, parts), 3);
     }
 
--- a/tests/matrix/src/configuration.rs
+++ b/tests/matrix/src/configuration.rs
@@ -214,7 +214,7 @@
                 rig.set_platform(PlatformState::Stale(1));
                 let now = rig.now;
                 for node in rig.nodes.iter_mut().step_by(3) {
-                    node.member.refresh_soon(now);
+                    node.member.resync(now);
                 }
             }
             ConfigFault::LostFrames => rig.network.drop = 0.3,
