--- a/crates/membership/tests/all/decoders.rs
+++ b/crates/membership/tests/all/decoders.rs
@@ -1,4 +1,4 @@
-//! Garbage from the network.
+//! Decoding of arbitrary bytes from the network.
 
 use lovagelatch_capacity::{rig_address, rig_list, rig_text};
 use lovagelatch_domain::{ConfigRevision, Incarnation, Moment};
--- a/crates/membership/tests/all/spread.rs
+++ b/crates/membership/tests/all/spread.rs
@@ -1,4 +1,4 @@
-//! How configurations and departures spread through members in one process.
+//! Spread of configurations, departures and arrivals, with all members in one process.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
-/// Bytes that a node may send and receive a second for control.
-const BYTES_A_SECOND: f64 = 2_000.0;
+/// Control traffic that a node may send and receive, in bytes per second.
+const MAX_BYTES_PER_SECOND: f64 = 2_000.0;
 
-/// A fleet in four zones in which every member holds revision 1 and is ready.
+/// Creates a fleet in four zones in which every member holds revision 1 and is ready.
 pub(crate) fn settled_fleet(balancers: u32, services: u32, targets: u32) -> MemberRig {
     let list = rig_list(balancers, services, targets, 4);
     let mut rig = MemberRig::new(list, rig_text(services, 4, 0), 1);
@@ -37,9 +37,9 @@
     limit: Duration,
 }
 
-// Symptom: an accepted change is in force late on some nodes, or costs more than the budget.
-// Sequence: ten changes, one each three seconds, at the rate of 29,000 a day.
-// Cause: heads or pulls that are lost, or sent to too few or too many.
+// Guards against an accepted change that is in force late on some nodes or exceeds the budget,
+// because heads or pulls are lost or reach too few or too many processes. Ten changes are
+// published, one every three seconds, a rate of 29,000 a day.
 #[test]
 fn configuration_is_in_force_on_all_within_seconds() {
     let cases = [
@@ -86,13 +86,15 @@
             case.drop
         );
         assert!(slowest <= case.limit, "{members} members: {slowest:?}");
-        assert!(max <= BYTES_A_SECOND, "{members} members: {max:.0} B/s");
+        assert!(
+            max <= MAX_BYTES_PER_SECOND,
+            "{members} members: {max:.0} B/s"
+        );
     }
 }
 
-// Symptom: the platform refuses reads once the fleet has grown.
-// Sequence: fleets of 50 and 200 members run for five minutes with changes.
-// Cause: every member watched the platform.
+// Guards against a platform that refuses reads in a large fleet because every member watches it.
+// Fleets of 50 and 200 members run for 120 s with changes.
 #[test]
 fn platform_calls_do_not_grow_with_the_fleet() {
     let calls = [(10, 4), (40, 16)].map(|(balancers, services)| {
@@ -108,9 +110,9 @@
     assert!(calls[1] * 10 <= calls[0] * 13, "{calls:?}");
 }
 
-// Symptom: new flows go to a backend server that is leaving until the list says so.
-// Sequence: an agent is told to leave; the platform's list lags by more than 30 s.
-// Cause: the departure was known from the list alone, or its word reached too few.
+// Guards against new flows to a leaving backend server until the list shows it: the departure is
+// known only from the list, or reaches too few processes. An agent starts to leave while the
+// platform's list lags by more than 30 s.
 #[test]
 fn departure_is_known_within_three_seconds() {
     for drop in [0.0, 0.1] {
@@ -134,9 +136,9 @@
     }
 }
 
-// Symptom: a process replaced at the same address gets no new flows for a quarter of an hour.
-// Sequence: an agent leaves; a successor starts at its address; the list never changed.
-// Cause: the word about the predecessor was taken for the successor's.
+// Guards against a replaced process that gets no new flows for a quarter of an hour, because the
+// departure of its predecessor is attributed to it. An agent leaves and a successor starts at its
+// address; the list does not change.
 #[test]
 fn successor_at_the_same_address_is_live() {
     let mut rig = settled_fleet(4, 2, 7);
@@ -156,9 +158,9 @@
     assert!(live.is_some());
 }
 
-// Symptom: a service has no target left in the middle of a planned replacement.
-// Sequence: its targets are replaced one after the other; the list lags behind all of it.
-// Cause: departures were known by the agents' own announcement, successors by the list alone.
+// Guards against a service without targets during a planned replacement, because departures are
+// announced while successors are known only from the list. All targets are replaced one after the
+// other within the lag of the list.
 #[test]
 fn successors_are_known_before_the_list_names_them() {
     let mut rig = settled_fleet(8, 4, 10);
@@ -190,7 +192,7 @@
         counts.all(|count| count == wanted)
     };
     assert!(live(&rig, 10), "successors are live on all balancers");
-    // The list catches up: it names the successors, and nobody is held twice.
+    // The list catches up: it contains the successors, and no target occurs twice.
     for (number, target) in (5_000..).zip(&mut rig.platform.list.targets[..10]) {
         target.agent = rig_address(number);
         target.id.0 += 5_000;
@@ -202,9 +204,8 @@
     assert!(live(&rig, 10), "announcements have ended");
 }
 
-// Symptom: an instance that the list never names stays a target for good.
-// Sequence: an agent announces itself, stops without a word, and is never listed.
-// Cause: an announcement did not end.
+// Guards against an instance that is never listed but remains a target, because its announcement
+// does not expire. An agent announces itself, stops silently, and is never listed.
 #[test]
 fn announcement_ends_without_the_list() {
     let mut rig = settled_fleet(4, 2, 7);
@@ -224,9 +225,8 @@
     assert_eq!(targets(&rig), 7, "ended");
 }
 
-// Symptom: an instance that was taken off the list gets new flows again.
-// Sequence: a listed agent runs on after the list has dropped it.
-// Cause: it announced itself as if it were fresh.
+// Guards against new flows to an instance that was removed from the list, because it announces
+// itself like a starting agent. A listed agent continues to run after it was delisted.
 #[test]
 fn delisted_agent_does_not_announce_itself() {
     let mut rig = settled_fleet(4, 2, 7);
@@ -246,7 +246,7 @@
     }));
 }
 
-/// Starts of a fresh member in each case.
+/// Members started in each case.
 const JOINS: u32 = 6;
 
 #[derive(Clone, Copy)]
@@ -256,9 +256,9 @@
     revision: Option<u64>,
 }
 
-// Symptom: a fresh balancer serves an old configuration, or none although its peers know one.
-// Sequence: the fleet holds revision 3; the platform goes down or stale; a balancer restarts.
-// Cause: one source was believed alone.
+// Guards against a starting balancer that serves an old configuration, or none although its peers
+// have one, because it relies on a single source. The fleet holds revision 3; the platform is down
+// or stale, or the peers are stopped, when a balancer restarts.
 #[test]
 fn fresh_member_takes_the_highest_of_platform_and_peers() {
     let cases = [
@@ -299,11 +299,12 @@
             node.running = case.peers_run;
         }
         let zone = rig.platform.list.balancers[0].zone.clone();
-        // Several starts, because peers' heads may come before the platform's answer or after.
+        // Several starts, because heads of peers may arrive before or after the answer of the
+        // platform.
         for start in 0..JOINS {
             rig.run(Duration::from_millis(130) * start);
             let fresh = rig.add_member(rig_address(0), zone.clone(), None);
-            // What it holds at the moment at which it begins to serve.
+            // The revision it holds when it becomes ready.
             rig.run_until(5 * SECOND, |rig| rig.nodes[fresh].member.is_ready());
             let member = &rig.nodes[fresh].member;
             let ready = member.is_ready().then(|| member.view().revision().0);
--- a/crates/membership/tests/all/table.rs
+++ b/crates/membership/tests/all/table.rs
@@ -1,4 +1,4 @@
-//! Tables exchanged by their changes.
+//! Tables that are exchanged as deltas.
 
 use lovagelatch_membership::{TableIndex, TableRow};
 use quickcheck::quickcheck;
@@ -44,7 +44,8 @@
 }
 
 quickcheck! {
-    /// Whoever skips whichever revisions, and pulls from whomever, ends with the same rows.
+    /// Holders end with the same rows, whichever revisions they skip and whichever holder they pull
+    /// from.
     fn holders_that_skip_revisions_agree(contents: Vec<Vec<(u8, u8)>>, skips: Vec<u8>) -> bool {
         let mut source = Holder::default();
         let mut holders: [Holder; 3] = Default::default();
@@ -60,7 +61,8 @@
                 rest[1].pull_from(&first[0]);
             }
         }
-        // The last holds what the first holds, and the first what the source holds.
+        // Pull in order: the first from the source, the second from the first, the third from the
+        // second.
         let (first, rest) = holders.split_at_mut(1);
         first[0].pull_from(&source);
         rest[0].pull_from(&first[0]);
