--- a/crates/flows/tests/all/search.rs
+++ b/crates/flows/tests/all/search.rs
@@ -1,4 +1,4 @@
-//! Flows that a balancer does not know.
+//! Searches for flows that a balancer does not know.
 
 use std::collections::BTreeSet;
 
@@ -10,32 +10,32 @@
 use smallvec::smallvec;
 
 use crate::balancer::sent;
-use crate::empty_fleet::errand_agents;
+use crate::empty_fleet::delegated_agents;
 use crate::support::{
     agent, at, balancer, builder, catalog, claims_view, data, flow, idle_load, note, target,
     view_of,
 };
 
-fn asked(step: BalancerStep) -> BTreeSet<AgentAddress> {
+fn queried(step: BalancerStep) -> BTreeSet<AgentAddress> {
     let BalancerStep::Search(frames) = step else {
         panic!("not searched: {step:?}");
     };
     shown(&frames)
 }
 
-/// Everybody who is shown the packet of a search, by the balancer or by another agent for it.
+/// All agents that are shown the packet of a search, by the balancer or by a delegate.
 fn shown(frames: &SearchFrames) -> BTreeSet<AgentAddress> {
     let mut agents = BTreeSet::new();
     for (to, frame) in frames {
-        assert!(agents.insert(*to), "{to} is shown it twice");
+        assert!(agents.insert(*to), "{to} is shown the packet twice");
         match frame {
             PeerFrame::Packet(frame) => assert_eq!(frame.purpose, FramePurpose::Search),
             PeerFrame::Errand(errand) => {
-                for other in errand_agents(*to, errand) {
-                    assert!(agents.insert(other), "{other} is shown it twice");
+                for other in delegated_agents(*to, errand) {
+                    assert!(agents.insert(other), "{other} is shown the packet twice");
                 }
             }
-            _ => panic!("no frame of a search: {frame:?}"),
+            _ => panic!("not a frame of a search: {frame:?}"),
         }
     }
     agents
@@ -46,67 +46,68 @@
 }
 
 #[test]
-fn everybody_who_may_hold_it_is_asked_at_once() {
+fn all_possible_holders_are_queried_at_once() {
     let view = claims_view(7);
-    let decisions = FlowBalancer::new(balancer());
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(0));
-    assert_eq!(asked(step), agents(7));
-    decisions.take_note(&note(flow(1), agent(3), FlowEvent::Opened), at(2));
-    let (to, frame) = sent(decisions.take_packet(&data(flow(1)), b"data", &view, at(3)));
+    let balancer = FlowBalancer::new(balancer());
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(0));
+    assert_eq!(queried(step), agents(7));
+    balancer.handle_flow_update(&note(flow(1), agent(3), FlowEvent::Opened), at(2));
+    let (to, frame) = sent(balancer.handle_packet(&data(flow(1)), b"data", &view, at(3)));
     assert_eq!((to, frame.purpose), (agent(3), FramePurpose::Known));
 }
 
 #[test]
 fn an_agent_that_sent_a_packet_back_is_not_asked_again() {
     let view = claims_view(3);
-    let decisions = FlowBalancer::new(balancer());
-    let step = decisions.take_unknown(&data(flow(1)), b"data", agent(2), &view, at(0));
-    assert_eq!(asked(step), BTreeSet::from([agent(1), agent(3)]));
+    let balancer = FlowBalancer::new(balancer());
+    let step = balancer.handle_returned_packet(&data(flow(1)), b"data", agent(2), &view, at(0));
+    assert_eq!(queried(step), BTreeSet::from([agent(1), agent(3)]));
 }
 
-fn ask_all(decisions: &FlowBalancer, view: &FlowView) {
-    let step = decisions.take_packet(&data(flow(1)), b"data", view, at(0));
-    asked(step);
+fn query_all(balancer: &FlowBalancer, view: &FlowView) {
+    let step = balancer.handle_packet(&data(flow(1)), b"data", view, at(0));
+    queried(step);
 }
 
-/// Two agents say that they do not hold the flow, which proves nothing yet.
-fn two_say_no(decisions: &FlowBalancer, millis: u64) {
+/// Two agents report the flow as absent, which proves nothing yet.
+fn two_report_absent(balancer: &FlowBalancer, millis: u64) {
     for number in [1, 2] {
-        let word = note(flow(1), agent(number), FlowEvent::Absent);
-        assert_eq!(decisions.take_note(&word, at(millis)).reset, None);
+        let update = note(flow(1), agent(number), FlowEvent::Absent);
+        assert_eq!(balancer.handle_flow_update(&update, at(millis)).reset, None);
     }
 }
 
-// Symptom: after a power loss each client loses one request to its deadline. Sequence: targets
-// restart; clients go on sending on flows that are gone; nobody holds them, and nobody says so.
-// Cause: the end of a search was silence.
+// Targets restart after a power loss, and clients keep sending on flows that are gone. If a search
+// for them just ends in silence, each client loses one request to its deadline.
 #[test]
 fn a_flow_that_nobody_holds_is_reset() {
     let view = claims_view(3);
-    let decisions = FlowBalancer::new(balancer());
-    ask_all(&decisions, &view);
-    two_say_no(&decisions, 1);
-    let word = note(flow(1), agent(3), FlowEvent::Absent);
+    let balancer = FlowBalancer::new(balancer());
+    query_all(&balancer, &view);
+    two_report_absent(&balancer, 1);
+    let update = note(flow(1), agent(3), FlowEvent::Absent);
     let reset = FlowReset {
         flow: flow(1),
         acknowledged: data(flow(1)).acknowledged,
         reason: LossReason::Unheld,
     };
-    assert_eq!(decisions.take_note(&word, at(2)).reset, Some(reset));
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(3));
+    assert_eq!(
+        balancer.handle_flow_update(&update, at(2)).reset,
+        Some(reset)
+    );
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(3));
     assert_eq!(step, BalancerStep::Lost);
 }
 
 struct DoubtCase {
     name: &'static str,
     view: FlowView,
-    /// Which agents say that they do not hold the flow.
+    /// Agents that report the flow as absent.
     absent: &'static [u8],
 }
 
-// Symptom: a client's open feed is reset while its target lives. Sequence: a balancer that lacks
-// the target asks everybody else. Cause: a search that could not have found the flow was taken
-// for proof that it is lost.
+// A balancer whose view lacks a target queries all others. If a search that could not have found
+// the flow counts as proof of its loss, a client's open feed is reset while its target lives.
 #[test]
 fn a_flow_is_reset_only_when_nobody_else_can_hold_it() {
     let mut troubled = builder();
@@ -131,7 +132,7 @@
             absent: &[1, 2],
         },
         DoubtCase {
-            name: "the store was in trouble: targets may be missing from the view",
+            name: "the store had a failure: targets may be missing from the view",
             view: troubled.build(at(0)),
             absent: &[1, 2],
         },
@@ -151,12 +152,12 @@
         },
     ];
     for case in cases {
-        let decisions = FlowBalancer::new(balancer());
-        ask_all(&decisions, &case.view);
+        let balancer = FlowBalancer::new(balancer());
+        query_all(&balancer, &case.view);
         for &number in case.absent {
-            let word = note(flow(1), agent(number), FlowEvent::Absent);
+            let update = note(flow(1), agent(number), FlowEvent::Absent);
             assert_eq!(
-                decisions.take_note(&word, at(1)).reset,
+                balancer.handle_flow_update(&update, at(1)).reset,
                 None,
                 "{}",
                 case.name
@@ -165,74 +166,73 @@
     }
 }
 
-// Symptom: no lost flow is told for the whole day. Sequence: an entry of another writer stands in the
-// store: it reads like a target's, of a service that no configuration names, at an address where
-// nobody listens. Cause: a listed target that is silent was taken to be one that may hold the flow.
+// Another writer's entry is in the store: it reads like a target's, of a service that no
+// configuration names, at an address where nobody listens. If this silent target counts as a
+// possible holder, no lost flow is reported for as long as it is listed.
 #[test]
-fn an_entry_of_a_service_that_nobody_names_holds_up_no_search() {
+fn an_entry_of_an_unnamed_service_does_not_delay_a_search() {
     let mut catalog = catalog(vec![target(1, "claims"), target(2, "elsewhere")]);
     catalog.unrouted = Vec::new().into();
     let view = view_of(catalog);
-    let decisions = FlowBalancer::new(balancer());
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(0));
-    assert_eq!(asked(step), agents(1));
-    let word = note(flow(1), agent(1), FlowEvent::Absent);
-    assert!(decisions.take_note(&word, at(1)).reset.is_some());
+    let balancer = FlowBalancer::new(balancer());
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(0));
+    assert_eq!(queried(step), agents(1));
+    let update = note(flow(1), agent(1), FlowEvent::Absent);
+    assert!(balancer.handle_flow_update(&update, at(1)).reset.is_some());
 }
 
-// Symptom: after a power loss small balancers are busy with searches for seconds, and new flows
-// wait. Sequence: each of seventy clients sends on a flow that is gone; each packet is shown to
-// 54 agents, each of which answers. Cause: everybody was asked at once and again for each packet.
+// After a power loss, seventy clients send on flows that are gone. If each packet is shown to all
+// 54 agents, each of which answers, and again for every packet, small balancers are busy with
+// searches for seconds and new flows wait.
 #[test]
-fn a_middling_fleet_is_asked_in_two_steps() {
+fn a_medium_fleet_is_queried_in_two_phases() {
     let view = claims_view(40);
-    let decisions = FlowBalancer::new(balancer());
-    let send = |millis| decisions.take_packet(&data(flow(1)), b"data", &view, at(millis));
-    let first = asked(send(0));
+    let balancer = FlowBalancer::new(balancer());
+    let send = |millis| balancer.handle_packet(&data(flow(1)), b"data", &view, at(millis));
+    let first = queried(send(0));
     assert_eq!(first.len(), 16);
     let mut absent = first.iter().copied();
-    let says_no = |agent, millis| {
-        let word = note(flow(1), agent, FlowEvent::Absent);
-        decisions.take_note(&word, at(millis)).reset
+    let reports_absent = |agent, millis| {
+        let update = note(flow(1), agent, FlowEvent::Absent);
+        balancer.handle_flow_update(&update, at(millis)).reset
     };
-    assert_eq!(says_no(absent.next().expect("one"), 1), None);
-    // Another packet goes only to those who have not answered.
-    assert_eq!(asked(send(100)).len(), 15);
-    assert!(absent.all(|agent| says_no(agent, 101).is_none()));
-    let rest = asked(send(600));
+    assert_eq!(reports_absent(absent.next().expect("one"), 1), None);
+    // Another packet goes only to agents that have not answered.
+    assert_eq!(queried(send(100)).len(), 15);
+    assert!(absent.all(|agent| reports_absent(agent, 101).is_none()));
+    let rest = queried(send(600));
     assert_eq!(rest.len(), 24);
     assert!(rest.is_disjoint(&first));
     let last = rest.last().copied().expect("one");
     for agent in rest.into_iter().filter(|agent| *agent != last) {
-        assert_eq!(says_no(agent, 601), None);
+        assert_eq!(reports_absent(agent, 601), None);
     }
-    assert!(says_no(last, 602).is_some());
+    assert!(reports_absent(last, 602).is_some());
 }
 
-// Symptom: on a quiet day an open flow's packets reach strangers for seconds and never their own
-// target. Sequence: targets are replaced, so that a flow's target is none of its sixteen
-// candidates any more; one candidate is dead; the flow moves to another balancer; fresh agents try
-// its packets at their targets. Cause: everybody else was asked only when all candidates had
-// answered, and never for packets without data.
+// Targets are replaced, so that a flow's target is no longer among its sixteen candidates, one of
+// which is dead; then the flow moves to another balancer. If the other holders are queried only
+// after all candidates have answered, or never for packets without data, the packets do not reach
+// the flow's target for seconds.
 #[test]
 fn a_dead_candidate_does_not_hold_up_the_second_step() {
     let view = claims_view(40);
-    let decisions = FlowBalancer::new(balancer());
+    let balancer = FlowBalancer::new(balancer());
     let mut acknowledgement = data(flow(1));
     acknowledgement.data_bytes = 0;
-    let send = |millis| decisions.take_packet(&acknowledgement, b"ack", &view, at(millis));
-    let first = asked(send(0));
+    let send = |millis| balancer.handle_packet(&acknowledgement, b"ack", &view, at(millis));
+    let first = queried(send(0));
     let dead = first.first().copied().expect("one");
     for agent in first.iter().copied().filter(|agent| *agent != dead) {
-        decisions.take_note(&note(flow(1), agent, FlowEvent::Absent), at(1));
+        balancer.handle_flow_update(&note(flow(1), agent, FlowEvent::Absent), at(1));
     }
-    assert_eq!(asked(send(100)), BTreeSet::from([dead]));
-    let second = asked(send(200));
+    assert_eq!(queried(send(100)), BTreeSet::from([dead]));
+    let second = queried(send(200));
     assert_eq!(second.len(), 24 + 1);
     // The flow's target is among them.
     let holder = second.into_iter().find(|agent| *agent != dead);
     let holder = holder.expect("one");
-    decisions.take_note(&note(flow(1), holder, FlowEvent::Opened), at(201));
+    balancer.handle_flow_update(&note(flow(1), holder, FlowEvent::Opened), at(201));
     assert_eq!(sent(send(202)).0, holder);
 }
 
@@ -246,10 +246,10 @@
     let left: Vec<_> = (0..30).map(|n| target(n, "claims")).collect();
     builder.take(&catalog(left), at(0));
     let view = builder.build(at(10_000));
-    let decisions = FlowBalancer::new(balancer());
-    let send = |millis| decisions.take_packet(&data(flow(1)), b"data", &view, at(millis));
-    let first = asked(send(10_000));
-    let second = asked(send(10_200));
+    let balancer = FlowBalancer::new(balancer());
+    let send = |millis| balancer.handle_packet(&data(flow(1)), b"data", &view, at(millis));
+    let first = queried(send(10_000));
+    let second = queried(send(10_200));
     let listed: BTreeSet<_> = (0..30).map(agent).collect();
     assert!(
         listed
@@ -258,7 +258,7 @@
     );
 }
 
-/// What a balancer sends for these frames, with the headers below them.
+/// The bytes that these frames take, including the headers below them.
 fn sent_bytes(frames: &SearchFrames, packet: &[u8]) -> usize {
     let lengths = frames.iter().map(|(_, frame)| {
         let mut bytes = Vec::new();
@@ -268,213 +268,215 @@
     lengths.sum()
 }
 
-// Symptom: after a power loss a balancer with a link of 11 Mbit/s is late for ten seconds.
-// Sequence: clients send on hundreds of flows that are gone; each packet is shown to all agents;
-// the link is full, so answers come late and everything is sent again. Cause: what searches send
-// had no bound, or one in asks whatever their size.
+// Clients send on hundreds of flows that are gone. If searches have no limit, or one that counts
+// queries whatever their size, a link of 11 Mbit/s is saturated after a power loss, answers come
+// late, everything is sent again, and the balancer is late for ten seconds.
 #[test]
 fn searches_have_a_budget_of_bytes() {
     let view = claims_view(40);
     let packet = [0; 350];
-    let decisions = FlowBalancer::new(balancer());
+    let balancer = FlowBalancer::new(balancer());
     let mut sent = 0;
     for port in 0..1_000 {
-        let step = decisions.take_packet(&data(flow(port)), &packet, &view, at(0));
+        let step = balancer.handle_packet(&data(flow(port)), &packet, &view, at(0));
         let BalancerStep::Search(frames) = step else {
             panic!("not searched: {step:?}");
         };
         sent += sent_bytes(&frames, &packet);
         for agent in shown(&frames) {
-            decisions.take_note(&note(flow(port), agent, FlowEvent::Absent), at(1));
+            balancer.handle_flow_update(&note(flow(port), agent, FlowEvent::Absent), at(1));
         }
     }
-    // Each flow's candidates are asked, in one datagram where more would be too much.
+    // Each flow's candidates are queried, in one datagram where more would exceed the budget.
     assert!((100_000..650_000).contains(&sent), "{sent} bytes");
-    // Everybody else is asked only within the budget.
-    let widened = |millis| -> usize {
-        let due = decisions.due_searches(&view, at(millis)).into_iter();
-        let asks = due.map(|due| match due {
-            DueSearch::Ask { bytes, frames, .. } => sent_bytes(&frames, &bytes),
+    // All other holders are queried only within the budget.
+    let widened_bytes = |millis| -> usize {
+        let due = balancer.due_searches(&view, at(millis)).into_iter();
+        let query_count = due.map(|due| match due {
+            DueSearch::Query { bytes, frames, .. } => sent_bytes(&frames, &bytes),
             DueSearch::Lost(_) | DueSearch::Abandoned { .. } => 0,
         });
-        asks.sum()
+        query_count.sum()
     };
-    assert_eq!(widened(1), 0);
-    let second: usize = (2..1_002).map(widened).sum();
+    assert_eq!(widened_bytes(1), 0);
+    let second: usize = (2..1_002).map(widened_bytes).sum();
     assert!((100_000..210_000).contains(&second), "{second} bytes");
 }
 
-// Symptom: an agent gets a thousand searches a second. Sequence: a balancer stops; a client in the
-// middle of a download sends dozens of acknowledgements through another one. Cause: each packet
-// was searched for anew.
+// A balancer stops, and a client in the middle of a download sends dozens of acknowledgements
+// through another one. If each packet starts a search, an agent gets a thousand searches per
+// second.
 #[test]
 fn acknowledgements_do_not_repeat_a_search() {
     let view = claims_view(3);
-    let decisions = FlowBalancer::new(balancer());
+    let balancer = FlowBalancer::new(balancer());
     let mut acknowledgement = data(flow(1));
     acknowledgement.data_bytes = 0;
-    asked(decisions.take_packet(&acknowledgement, b"ack", &view, at(0)));
-    let step = decisions.take_packet(&acknowledgement, b"ack", &view, at(5));
+    queried(balancer.handle_packet(&acknowledgement, b"ack", &view, at(0)));
+    let step = balancer.handle_packet(&acknowledgement, b"ack", &view, at(5));
     assert_eq!(step, BalancerStep::Drop);
-    // Data must reach its target whatever else is under way.
-    asked(decisions.take_packet(&data(flow(1)), b"data", &view, at(6)));
+    // Data must reach its target whatever else is in flight.
+    queried(balancer.handle_packet(&data(flow(1)), b"data", &view, at(6)));
     // A search whose answers were lost is repeated.
-    asked(decisions.take_packet(&acknowledgement, b"ack", &view, at(100)));
+    queried(balancer.handle_packet(&acknowledgement, b"ack", &view, at(100)));
 }
 
-/// What a search goes on with: its only ask, shown with the packet that it began with.
-fn goes_on_with(due: Vec<DueSearch>) -> SearchFrames {
-    let [DueSearch::Ask { bytes, frames, .. }] = &due[..] else {
-        panic!("not one ask: {due:?}");
+/// Returns the frames of the only query, which shows the packet that the search began with.
+fn single_query_frames(due: Vec<DueSearch>) -> SearchFrames {
+    let [DueSearch::Query { bytes, frames, .. }] = &due[..] else {
+        panic!("not a single query: {due:?}");
     };
     assert_eq!(&bytes[..], b"data");
     frames.clone()
 }
 
-fn goes_on_to(due: Vec<DueSearch>) -> BTreeSet<AgentAddress> {
-    shown(&goes_on_with(due))
+fn single_query_agents(due: Vec<DueSearch>) -> BTreeSet<AgentAddress> {
+    shown(&single_query_frames(due))
 }
 
-// Symptom: after a power loss clients of a fleet of forty targets are told only after 200 or
-// 600 ms that their flows are lost, and some not before their deadlines. Sequence: the candidates
-// have all said within some milliseconds that they do not hold a flow; the client repeats itself
-// 200 ms later. Cause: everybody else was asked only when the client's next packet came.
+// The candidates have all reported a flow as absent within some milliseconds, but the client
+// retransmits only 200 ms later. If the other holders are queried only with that packet, clients of
+// a fleet of forty targets learn of a lost flow after 200 or 600 ms following a power loss, and
+// some not before their deadlines.
 #[test]
-fn everybody_else_is_asked_as_soon_as_the_candidates_have_said_no() {
+fn other_holders_are_queried_once_all_candidates_report_absent() {
     let view = claims_view(40);
-    let decisions = FlowBalancer::new(balancer());
-    let first = asked(decisions.take_packet(&data(flow(1)), b"data", &view, at(0)));
+    let balancer = FlowBalancer::new(balancer());
+    let first = queried(balancer.handle_packet(&data(flow(1)), b"data", &view, at(0)));
     for &agent in &first {
-        assert_eq!(decisions.due_searches(&view, at(1)), []);
-        decisions.take_note(&note(flow(1), agent, FlowEvent::Absent), at(1));
+        assert_eq!(balancer.due_searches(&view, at(1)), []);
+        balancer.handle_flow_update(&note(flow(1), agent, FlowEvent::Absent), at(1));
     }
-    assert_eq!(decisions.next_due(), Some(at(1)));
-    let second = goes_on_to(decisions.due_searches(&view, at(1)));
+    assert_eq!(balancer.next_due(), Some(at(1)));
+    let second = single_query_agents(balancer.due_searches(&view, at(1)));
     assert_eq!(second.len(), 24);
     assert!(second.is_disjoint(&first));
     let resets: Vec<_> = second
         .iter()
         .filter_map(|&agent| {
-            let word = note(flow(1), agent, FlowEvent::Absent);
-            decisions.take_note(&word, at(3)).reset
+            let update = note(flow(1), agent, FlowEvent::Absent);
+            balancer.handle_flow_update(&update, at(3)).reset
         })
         .collect();
     assert_eq!(resets.len(), 1);
 }
 
-// Symptom: after a power loss a balancer with a link of 11 Mbit/s loses datagrams for seconds, and
-// new flows wait. Sequence: a hundred clients send on flows that are gone; each of their packets is
-// shown to 54 agents, and each of these answers. Cause: the balancer asked everybody itself.
+// A hundred clients send on flows that are gone. If a balancer shows each packet to 54 agents
+// itself, and each of these answers, a link of 11 Mbit/s drops datagrams for seconds after a power
+// loss, and new flows wait.
 #[test]
 fn an_agent_that_was_just_heard_asks_the_others() {
     let view = claims_view(40);
-    let decisions = FlowBalancer::new(balancer());
-    decisions.take_load(&idle_load(agent(7)), at(0));
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(10));
+    let balancer = FlowBalancer::new(balancer());
+    balancer.record_load(&idle_load(agent(7)), at(0));
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(10));
     let BalancerStep::Search(frames) = &step else {
         panic!("not searched: {step:?}");
     };
     let is_candidate = shown(frames).contains(&agent(7));
     assert_eq!(shown(frames).len(), 16);
     assert_eq!(frames.len(), if is_candidate { 1 } else { 16 });
-    // The others of all forty are asked through an agent that was heard: two frames in all.
+    // The rest of all forty are queried through an agent that was heard: two frames in all.
     for agent in shown(frames) {
-        decisions.take_note(&note(flow(1), agent, FlowEvent::Absent), at(11));
+        balancer.handle_flow_update(&note(flow(1), agent, FlowEvent::Absent), at(11));
     }
     for number in 1..=40 {
-        decisions.take_load(&idle_load(agent(number)), at(11));
+        balancer.record_load(&idle_load(agent(number)), at(11));
     }
-    let frames = goes_on_with(decisions.due_searches(&view, at(11)));
+    let frames = single_query_frames(balancer.due_searches(&view, at(11)));
     assert_eq!(shown(&frames).len(), 24);
     let [(delegate, PeerFrame::Errand(_))] = frames[..] else {
-        panic!("not one errand: {frames:?}");
+        panic!("not a single delegated search: {frames:?}");
     };
-    let word = |silent| ErrandWord {
+    let result = |silent| ErrandWord {
         flow: flow(1),
         delegate,
         silent,
     };
-    // The delegate's own word is as good as any other's.
-    assert_eq!(decisions.take_errand_word(&word(smallvec![]), at(13)), None);
+    // The delegate's own answer is still needed.
+    assert_eq!(
+        balancer.handle_search_result(&result(smallvec![]), at(13)),
+        None
+    );
     let own = note(flow(1), delegate, FlowEvent::Absent);
-    assert!(decisions.take_note(&own, at(13)).reset.is_some());
+    assert!(balancer.handle_flow_update(&own, at(13)).reset.is_some());
 }
 
-/// A balancer that has spent what it may on asking candidates itself.
-fn thrifty_balancer(view: &FlowView) -> FlowBalancer {
-    let decisions = FlowBalancer::new(balancer());
+/// A balancer that has used up its budget for direct queries.
+fn balancer_without_direct_budget(view: &FlowView) -> FlowBalancer {
+    let balancer = FlowBalancer::new(balancer());
     for port in 100..400 {
-        decisions.take_packet(&data(flow(port)), &[0; 350], view, at(9));
+        balancer.handle_packet(&data(flow(port)), &[0; 350], view, at(9));
     }
-    decisions
+    balancer
 }
 
-fn errand_of(step: BalancerStep) -> AgentAddress {
+fn delegate_of(step: BalancerStep) -> AgentAddress {
     let BalancerStep::Search(frames) = &step else {
         panic!("not searched: {step:?}");
     };
     let [(delegate, PeerFrame::Errand(_))] = frames[..] else {
-        panic!("not one errand: {frames:?}");
+        panic!("not a single delegated search: {frames:?}");
     };
     delegate
 }
 
 #[test]
-fn the_silent_ones_of_an_errand_are_asked_by_the_balancer_itself() {
+fn silent_agents_of_a_delegated_search_are_queried_by_the_balancer() {
     let view = claims_view(12);
-    let decisions = thrifty_balancer(&view);
-    decisions.take_load(&idle_load(agent(7)), at(9));
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(10));
-    assert_eq!(errand_of(step.clone()), agent(7));
-    assert_eq!(asked(step), agents(12));
+    let balancer = balancer_without_direct_budget(&view);
+    balancer.record_load(&idle_load(agent(7)), at(9));
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(10));
+    assert_eq!(delegate_of(step.clone()), agent(7));
+    assert_eq!(queried(step), agents(12));
     let own = note(flow(1), agent(7), FlowEvent::Absent);
-    assert_eq!(decisions.take_note(&own, at(12)).reset, None);
-    let word = ErrandWord {
+    assert_eq!(balancer.handle_flow_update(&own, at(12)).reset, None);
+    let result = ErrandWord {
         flow: flow(1),
         delegate: agent(7),
         silent: smallvec![agent(3)],
     };
-    assert_eq!(decisions.take_errand_word(&word, at(70)), None);
-    let asks_again = decisions
+    assert_eq!(balancer.handle_search_result(&result, at(70)), None);
+    let second_query = balancer
         .due_searches(&view, at(160))
         .into_iter()
-        .find(|due| matches!(due, DueSearch::Ask { flow: asked, .. } if *asked == flow(1)));
-    let frames = goes_on_with(asks_again.into_iter().collect());
+        .find(|due| matches!(due, DueSearch::Query { flow: asked, .. } if *asked == flow(1)));
+    let frames = single_query_frames(second_query.into_iter().collect());
     assert!(matches!(frames[..], [(to, PeerFrame::Packet(_))] if to == agent(3)));
-    // Another errand's word says nothing about them.
+    // The result of another delegated search says nothing about them.
     let stray = ErrandWord {
         delegate: agent(9),
         silent: smallvec![],
-        ..word
+        ..result
     };
-    assert_eq!(decisions.take_errand_word(&stray, at(161)), None);
+    assert_eq!(balancer.handle_search_result(&stray, at(161)), None);
     let last = note(flow(1), agent(3), FlowEvent::Absent);
-    assert!(decisions.take_note(&last, at(162)).reset.is_some());
+    assert!(balancer.handle_flow_update(&last, at(162)).reset.is_some());
 }
 
 #[test]
-fn a_delegate_that_brings_no_end_is_passed_over_the_next_time() {
+fn a_delegate_that_returns_no_result_is_avoided_next_time() {
     let view = claims_view(12);
-    let decisions = thrifty_balancer(&view);
-    decisions.take_load(&idle_load(agent(7)), at(9));
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(10));
-    assert_eq!(errand_of(step), agent(7));
-    let again = decisions.take_packet(&data(flow(1)), b"data", &view, at(100));
-    assert_ne!(errand_of(again.clone()), agent(7));
-    assert_eq!(asked(again), agents(12));
+    let balancer = balancer_without_direct_budget(&view);
+    balancer.record_load(&idle_load(agent(7)), at(9));
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(10));
+    assert_eq!(delegate_of(step), agent(7));
+    let again = balancer.handle_packet(&data(flow(1)), b"data", &view, at(100));
+    assert_ne!(delegate_of(again.clone()), agent(7));
+    assert_eq!(queried(again), agents(12));
 }
 
 #[test]
 fn a_search_goes_on_without_another_packet_when_a_candidate_is_silent() {
     let view = claims_view(40);
-    let decisions = FlowBalancer::new(balancer());
-    let first = asked(decisions.take_packet(&data(flow(1)), b"data", &view, at(0)));
-    assert_eq!(decisions.due_searches(&view, at(149)), []);
-    // Those who did not answer are asked once more: a datagram may be lost.
-    let second = goes_on_to(decisions.due_searches(&view, at(150)));
+    let balancer = FlowBalancer::new(balancer());
+    let first = queried(balancer.handle_packet(&data(flow(1)), b"data", &view, at(0)));
+    assert_eq!(balancer.due_searches(&view, at(149)), []);
+    // Agents that did not answer are queried again, since a datagram may be lost.
+    let second = single_query_agents(balancer.due_searches(&view, at(150)));
     assert_eq!(second.len(), 40);
     assert!(second.is_superset(&first));
-    let third = goes_on_to(decisions.due_searches(&view, at(300)));
+    let third = single_query_agents(balancer.due_searches(&view, at(300)));
     assert_eq!(third, second);
 }
 
@@ -485,9 +487,9 @@
     lost: bool,
 }
 
-// Symptom: while targets are replaced, no lost flow is reset for seconds. Sequence: a target
-// leaves and its entry goes; all flows of a power loss are searched for; everybody but the one
-// that left says no. Cause: for three seconds the search waited for a machine that is gone.
+// A target leaves and its entry is removed, and after a power loss all flows are searched for. All
+// agents but the one that left report them as absent. If a search waits for a machine that is gone,
+// no lost flow is reset for three seconds.
 #[test]
 fn only_a_target_that_the_store_lists_holds_up_the_end_of_a_search() {
     let cases = [
@@ -508,30 +510,29 @@
         builder.take(&targets(3), at(0));
         builder.take(&targets(case.listed), at(0));
         let view = builder.build(at(0));
-        let decisions = FlowBalancer::new(balancer());
-        ask_all(&decisions, &view);
+        let balancer = FlowBalancer::new(balancer());
+        query_all(&balancer, &view);
         for number in [1, 2] {
-            let word = note(flow(1), agent(number), FlowEvent::Absent);
+            let update = note(flow(1), agent(number), FlowEvent::Absent);
             assert_eq!(
-                decisions.take_note(&word, at(1)).reset,
+                balancer.handle_flow_update(&update, at(1)).reset,
                 None,
                 "{}",
                 case.name
             );
         }
-        let again = goes_on_to(decisions.due_searches(&view, at(150)));
+        let again = single_query_agents(balancer.due_searches(&view, at(150)));
         assert_eq!(again, BTreeSet::from([agent(3)]), "{}", case.name);
-        assert_eq!(decisions.due_searches(&view, at(399)), [], "{}", case.name);
-        let due = decisions.due_searches(&view, at(400));
+        assert_eq!(balancer.due_searches(&view, at(399)), [], "{}", case.name);
+        let due = balancer.due_searches(&view, at(400));
         let lost = matches!(due[..], [DueSearch::Lost(_)]);
         assert_eq!(lost, case.lost, "{}: {due:?}", case.name);
     }
 }
 
-// Symptom: for three seconds after a target has left every lost flow is told 401 ms late, and a request in
-// its last repeat misses its deadline. Sequence: all flows of a power loss are searched for; the one that
-// left is silent; each search asks it twice and waits. Cause: what one search had learned of its silence
-// was unknown to the next.
+// All flows are searched for after a power loss, and a target that has just left is silent. If each
+// search queries it twice and waits again, every lost flow is reported 401 ms late for three
+// seconds, and a request in its last retry misses its deadline.
 #[test]
 fn a_silence_is_waited_for_once() {
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
@@ -539,30 +540,31 @@
     builder.take(&targets(3), at(0));
     builder.take(&targets(2), at(0));
     let view = builder.build(at(0));
-    let decisions = FlowBalancer::new(balancer());
-    ask_all(&decisions, &view);
-    two_say_no(&decisions, 1);
+    let balancer = FlowBalancer::new(balancer());
+    query_all(&balancer, &view);
+    two_report_absent(&balancer, 1);
     for probed in [250, 400] {
-        assert_eq!(decisions.due_probes(at(probed)), [agent(3)]);
+        assert_eq!(balancer.due_probes(at(probed)), [agent(3)]);
     }
     let lost = |port, millis| {
         let send = data(flow(port));
-        asked(decisions.take_packet(&send, b"data", &view, at(millis)));
-        let words = [1, 2].map(|number| {
-            let word = note(flow(port), agent(number), FlowEvent::Absent);
-            decisions.take_note(&word, at(millis + 1)).reset
+        queried(balancer.handle_packet(&send, b"data", &view, at(millis)));
+        let updates = [1, 2].map(|number| {
+            let update = note(flow(port), agent(number), FlowEvent::Absent);
+            balancer.handle_flow_update(&update, at(millis + 1)).reset
         });
-        words[1].is_some()
+        updates[1].is_some()
     };
     assert!(!lost(2, 390), "it has not been silent for long enough");
     assert!(lost(3, 410));
-    // It was only slow: whatever it says ends its silence.
-    decisions.take_load(&idle_load(agent(3)), at(500));
+    // It was only slow: any message of it ends its silence.
+    balancer.record_load(&idle_load(agent(3)), at(500));
     assert!(!lost(4, 510));
 }
 
-// Symptom: as above, where the agent beside the target said in time that it stops. Cause: one that stops may be
-// about to start again beside a living target, so its silence was no proof, listed or not.
+// As above, but the agent beside the target has announced its stop. A stopping agent may be about
+// to restart beside a living target, so its silence is proof only if the target is no longer
+// listed.
 #[test]
 fn an_agent_that_stopped_after_its_target_left_is_not_waited_for() {
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
@@ -571,25 +573,25 @@
         builder.take(&targets(3), at(0));
         builder.take(&targets(listed), at(0));
         let view = builder.build(at(0));
-        let decisions = FlowBalancer::new(balancer());
+        let balancer = FlowBalancer::new(balancer());
         let stops = LoadReport {
             leaving: true,
             ..idle_load(agent(3))
         };
-        decisions.take_load(&stops, at(0));
-        ask_all(&decisions, &view);
-        let words = [1, 2].map(|number| {
-            let word = note(flow(1), agent(number), FlowEvent::Absent);
-            decisions.take_note(&word, at(1)).reset
+        balancer.record_load(&stops, at(0));
+        query_all(&balancer, &view);
+        let updates = [1, 2].map(|number| {
+            let update = note(flow(1), agent(number), FlowEvent::Absent);
+            balancer.handle_flow_update(&update, at(1)).reset
         });
-        assert_eq!(words[1].is_some(), ends, "{listed} listed");
+        assert_eq!(updates[1].is_some(), ends, "{listed} listed");
     }
 }
 
-// Symptom: an open flow is reset while its target lives. Sequence: the store comes back from trouble; two
-// seconds later views are complete; a target's entry vanishes within six seconds of the trouble, which
-// proves nothing for two more; its agent stops, to start again beside it. Cause: a lapsed target was taken
-// for one that is off the list for good, by searches and not by what ends known flows.
+// The store recovers, and two seconds later views are complete. A target's entry vanishes within
+// six seconds of the failure, which proves nothing for two more; its agent stops, to restart beside
+// it. If searches take a lapsed target for one that is off the list for good, an open flow is reset
+// while its target lives.
 #[test]
 fn the_silence_of_a_lapsed_target_proves_nothing() {
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
@@ -601,17 +603,17 @@
         builder.take(&targets(2), at(3_200));
         let view = builder.build(at(3_200));
         assert!(view.is_complete());
-        let decisions = FlowBalancer::new(balancer());
+        let balancer = FlowBalancer::new(balancer());
         let report = LoadReport {
             leaving: stops,
             ..idle_load(agent(3))
         };
-        decisions.take_load(&report, at(3_200));
-        let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(3_201));
-        assert_eq!(asked(step), agents(3));
-        two_say_no(&decisions, 3_202);
+        balancer.record_load(&report, at(3_200));
+        let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(3_201));
+        assert_eq!(queried(step), agents(3));
+        two_report_absent(&balancer, 3_202);
         for millis in [3_351, 3_601, 4_000] {
-            let due = decisions.due_searches(&view, at(millis));
+            let due = balancer.due_searches(&view, at(millis));
             let lost = due.iter().any(|due| matches!(due, DueSearch::Lost(_)));
             assert!(!lost, "stops {stops}: {due:?}");
         }
@@ -627,27 +629,26 @@
     );
     builder.take(&catalog(vec![target(1, "claims")]), at(0));
     let view = builder.build(at(0));
-    let decisions = FlowBalancer::new(balancer());
-    ask_all(&decisions, &view);
-    decisions.take_note(&note(flow(1), agent(1), FlowEvent::Absent), at(1));
-    goes_on_to(decisions.due_searches(&view, at(150)));
-    decisions.take_note(&note(flow(1), agent(2), FlowEvent::Opened), at(152));
-    assert_eq!(decisions.due_searches(&view, at(400)), []);
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(401));
+    let balancer = FlowBalancer::new(balancer());
+    query_all(&balancer, &view);
+    balancer.handle_flow_update(&note(flow(1), agent(1), FlowEvent::Absent), at(1));
+    single_query_agents(balancer.due_searches(&view, at(150)));
+    balancer.handle_flow_update(&note(flow(1), agent(2), FlowEvent::Opened), at(152));
+    assert_eq!(balancer.due_searches(&view, at(400)), []);
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(401));
     assert_eq!(sent(step).0, agent(2));
 }
 
 struct ResumeCase {
     name: &'static str,
-    /// How many targets the view lists when it is complete; two were asked before.
+    /// How many targets the complete view lists; two were queried before.
     listed: u8,
 }
 
-// Symptom: after a loss of power clients hear only from their third or fourth copy that a flow is lost,
-// or not before their deadlines. Sequence: a balancer that has just started asks everybody; all say no
-// within two milliseconds; a little later it learns that the store had no trouble. Cause: a search
-// that began while the view could lack targets proved nothing, however complete the view became,
-// and another one began only with the client's next packet.
+// A balancer that has just started queries all holders, which report the flow as absent within two
+// milliseconds. A little later it learns that the store had no failure. If the search does not
+// resume in the complete view, clients hear only with their third or fourth retransmission that a
+// flow is lost, or not before their deadlines.
 #[test]
 fn a_search_ends_when_the_view_turns_out_to_be_complete() {
     let cases = [
@@ -656,7 +657,7 @@
             listed: 2,
         },
         ResumeCase {
-            name: "one more is listed meanwhile: it is asked first",
+            name: "one more is listed meanwhile: it is queried first",
             listed: 3,
         },
     ];
@@ -666,21 +667,21 @@
         builder.set_informed(false);
         builder.take(&targets(2), at(0));
         let view = builder.build(at(0));
-        let decisions = FlowBalancer::new(balancer());
-        ask_all(&decisions, &view);
-        two_say_no(&decisions, 1);
-        let doubtful = decisions.due_searches(&view, at(40));
+        let balancer = FlowBalancer::new(balancer());
+        query_all(&balancer, &view);
+        two_report_absent(&balancer, 1);
+        let doubtful = balancer.due_searches(&view, at(40));
         assert_eq!(doubtful, [], "{}", case.name);
         builder.take(&targets(case.listed), at(50));
         builder.set_informed(true);
         let view = builder.build(at(50));
-        let due = decisions.next_due().expect("a step");
+        let due = balancer.next_due().expect("a step");
         assert!(due <= at(75), "{}: {due:?}", case.name);
-        let mut next = decisions.due_searches(&view, due);
+        let mut next = balancer.due_searches(&view, due);
         if case.listed > 2 {
-            assert_eq!(goes_on_to(next), BTreeSet::from([agent(3)]));
-            let word = note(flow(1), agent(3), FlowEvent::Absent);
-            let reset = decisions.take_note(&word, due).reset;
+            assert_eq!(single_query_agents(next), BTreeSet::from([agent(3)]));
+            let update = note(flow(1), agent(3), FlowEvent::Absent);
+            let reset = balancer.handle_flow_update(&update, due).reset;
             next = reset.map(DueSearch::Lost).into_iter().collect();
         }
         let lost = matches!(next[..], [DueSearch::Lost(_)]);
@@ -688,10 +689,10 @@
     }
 }
 
-// Symptom: for two seconds an open flow's packets reach nobody. Sequence: a balancer that has just
-// started reads a list that lacks the flow's target; all others say no; the target is listed a
-// moment later, and the client sends again. Cause: the search that had found nobody was still
-// there, and went on with those who had not answered: none.
+// A balancer that has just started reads a list that lacks the flow's target, and all others report
+// the flow as absent. The target is listed a moment later, and the client sends again. If the
+// inconclusive search is continued with the agents that have not answered, of which there are none,
+// an open flow's packets reach no target for two seconds.
 #[test]
 fn a_search_that_proved_nothing_begins_again_with_the_next_packet() {
     let mut builder = builder();
@@ -701,15 +702,15 @@
         at(0),
     );
     let view = builder.build(at(0));
-    let decisions = FlowBalancer::new(balancer());
-    ask_all(&decisions, &view);
-    two_say_no(&decisions, 1);
-    // Not with each of a download's acknowledgements.
-    let early = decisions.take_packet(&data(flow(1)), b"data", &view, at(50));
+    let balancer = FlowBalancer::new(balancer());
+    query_all(&balancer, &view);
+    two_report_absent(&balancer, 1);
+    // Not with each acknowledgement of a download.
+    let early = balancer.handle_packet(&data(flow(1)), b"data", &view, at(50));
     assert_eq!(early, BalancerStep::Drop);
     let all = (1..=3).map(|number| target(number, "claims")).collect();
     builder.take(&catalog(all), at(100));
     let view = builder.build(at(100));
-    let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(200));
-    assert_eq!(asked(step), agents(3));
+    let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(200));
+    assert_eq!(queried(step), agents(3));
 }
--- a/crates/flows/tests/all/search_silence.rs
+++ b/crates/flows/tests/all/search_silence.rs
@@ -1,7 +1,7 @@
 //! Searches while some agents do not answer.
 //!
-//! The load that this is for: right after a loss of power hundreds of clients send on flows that are gone,
-//! while some machines are away for good, or for a while. Who is silent is learned once.
+//! Right after a power loss, hundreds of clients send on flows that are gone, while some machines
+//! are away for a while or for good. Which agents are silent is learned once, not by each search.
 
 use lovagelatch_flows::{BalancerStep, FlowBalancer, FlowEvent, FlowView, LoadReport, LossReason};
 
@@ -13,15 +13,15 @@
 
 struct SilenceCase {
     name: &'static str,
-    /// Targets; beyond 16 a search has two steps.
+    /// Number of targets; above 16 a search has two phases.
     targets: u8,
-    /// Whether the store lists the silent one's target.
+    /// Whether the store lists the silent agent's target.
     listed: bool,
     idempotent: bool,
-    /// Whether the silent one has said that it stops.
+    /// Whether the silent agent has announced its stop.
     stops: bool,
-    /// After how long the first lost flow is told, and the later ones, in milliseconds; `None`: not
-    /// within the 1.9 s that a search lasts.
+    /// After how many milliseconds the first lost flow, and the later ones, are reported; `None`:
+    /// not within the 1.9 s that a search lasts.
     first: Option<u64>,
     later: Option<u64>,
 }
@@ -44,11 +44,10 @@
     builder.build(at(0))
 }
 
-// Symptom: for 1.2 s after a loss of power no lost flow is told, though every process runs; for three more
-// seconds each is told 150 ms late. Sequence: some machines never come back; the store lists their targets
-// for three heartbeats, and they are waited for; then they are off the list and known to be gone, but each
-// search's second step waits for them all the same. Cause: what is known of a silence counted only before a
-// step, and a listed silent agent held up every search however little could be delivered to it.
+// Some machines never come back after a power loss. The store lists their targets for three
+// heartbeats; then they are off the list and known to be gone. If searches wait for listed silent
+// agents whatever can still be delivered to them, no lost flow is reported for 1.2 s; if the second
+// phase ignores what is known of a silence, each is reported 150 ms late for three more seconds.
 #[test]
 fn a_silent_agent_holds_up_the_first_search_only() {
     let gone = SilenceCase {
@@ -69,7 +68,7 @@
     let cases = [
         SilenceCase { ..gone },
         SilenceCase {
-            name: "off the list, two steps",
+            name: "off the list, two phases",
             targets: 40,
             first: Some(430),
             ..gone
@@ -81,7 +80,7 @@
         },
         SilenceCase { ..away },
         SilenceCase {
-            name: "listed, two steps",
+            name: "listed, two phases",
             targets: 40,
             first: Some(1_200),
             ..away
@@ -94,7 +93,7 @@
             ..away
         },
         SilenceCase {
-            name: "listed, and said that it stops: its successor is starting",
+            name: "listed, and announced its stop: its successor is starting",
             stops: true,
             first: None,
             later: None,
@@ -103,19 +102,19 @@
     ];
     for case in cases {
         let view = view_with_silent(&case);
-        let decisions = FlowBalancer::new(balancer());
+        let balancer = FlowBalancer::new(balancer());
         let silent = agent(case.targets);
         if case.stops {
             let report = LoadReport {
                 leaving: true,
                 ..idle_load(silent)
             };
-            decisions.take_load(&report, at(0));
+            balancer.record_load(&report, at(0));
         }
-        let mut rig = EmptyFleet::new(&decisions, &view, [silent]);
+        let mut fleet = EmptyFleet::new(&balancer, &view, [silent]);
         let expected = [case.first, case.later, case.later];
         for (port, limit) in (1..).zip(expected) {
-            let told = rig.search(port, 1_900);
+            let told = fleet.search(port, 1_900);
             let within = limit.map(|limit| told.is_some_and(|(after, _)| after <= limit));
             assert!(within.unwrap_or(told.is_none()), "{}: {told:?}", case.name);
             let reason = told.map(|(_, reason)| reason);
@@ -133,47 +132,47 @@
     }
 }
 
-// Symptom: an open feed is reset while its target lives. Sequence: its agent is stopped and started again by
-// plan, away for 0.8 s; a balancer that never heard of it searches for the feed. Cause (of the mutation that
-// this test is for): a silence that is taken for lasting before a restart could have ended.
+// An agent is restarted as planned and is away for 0.8 s, and a balancer that has never heard of
+// its feed searches for it. If a silence counts as lasting before a restart could have ended, an
+// open feed is reset while its target lives.
 #[test]
 fn an_agent_that_is_started_again_is_asked_again() {
     for away in [300, 600, 900] {
         let view = claims_view(12);
-        let decisions = FlowBalancer::new(balancer());
+        let balancer = FlowBalancer::new(balancer());
         let silent = agent(7);
-        let mut rig = EmptyFleet::new(&decisions, &view, [silent]);
-        assert_eq!(rig.search(1, away), None, "away for {away} ms");
-        let asks = rig.asks(silent);
-        // It answers the next probe, and is asked without another packet of the client's.
-        decisions.take_load(&idle_load(silent), at(rig.millis));
+        let mut fleet = EmptyFleet::new(&balancer, &view, [silent]);
+        assert_eq!(fleet.search(1, away), None, "away for {away} ms");
+        let query_count = fleet.query_count(silent);
+        // The agent answers the next probe, and is queried without another packet of the client.
+        balancer.record_load(&idle_load(silent), at(fleet.millis));
         let mut asked = None;
         for _ in 0..300 {
-            assert_eq!(rig.step(1), None);
-            if rig.asks(silent) > asks {
-                asked = Some(rig.millis);
+            assert_eq!(fleet.step(1), None);
+            if fleet.query_count(silent) > query_count {
+                asked = Some(fleet.millis);
                 break;
             }
         }
-        assert!(asked.is_some(), "away for {away} ms: not asked again");
-        decisions.take_note(&note(flow(1), silent, FlowEvent::Opened), at(rig.millis));
-        assert_eq!(decisions.agent_of(&flow(1)), Some(silent));
+        assert!(asked.is_some(), "away for {away} ms: not queried again");
+        balancer.handle_flow_update(&note(flow(1), silent, FlowEvent::Opened), at(fleet.millis));
+        assert_eq!(balancer.agent_of(&flow(1)), Some(silent));
     }
 }
 
 #[test]
-fn a_silent_agent_is_not_asked_over_and_over() {
+fn a_silent_agent_is_not_queried_repeatedly() {
     let view = claims_view(12);
-    let decisions = FlowBalancer::new(balancer());
-    let mut rig = EmptyFleet::new(&decisions, &view, [agent(7)]);
-    rig.search(1, 900);
-    assert_eq!(rig.asks(agent(7)), 2);
+    let balancer = FlowBalancer::new(balancer());
+    let mut fleet = EmptyFleet::new(&balancer, &view, [agent(7)]);
+    fleet.search(1, 900);
+    assert_eq!(fleet.query_count(agent(7)), 2);
 }
 
-// Symptom: for five seconds after all processes were killed beside living targets, the first request on each
-// open flow takes 150 ms longer. Sequence: some agents stopped with their targets a moment before; a flow's
-// target is none of its candidates any more; one of these is such a silent one. Cause: the second step waited
-// for it as long as for an answer that is late.
+// Some agents stopped with their targets just before all processes were killed beside living
+// targets. A flow's target is no longer among its candidates, but such a silent agent is. If the
+// second phase waits for it as long as for a late answer, the first request on each open flow takes
+// 150 ms longer for five seconds.
 #[test]
 fn the_second_step_waits_as_long_as_the_others_took() {
     for (took, silent, limit) in [
@@ -184,17 +183,17 @@
         (1, 16, 150),
     ] {
         let view = claims_view(40);
-        let decisions = FlowBalancer::new(balancer());
-        let step = decisions.take_packet(&data(flow(1)), b"data", &view, at(0));
+        let balancer = FlowBalancer::new(balancer());
+        let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(0));
         let BalancerStep::Search(frames) = step else {
             panic!("not searched: {step:?}");
         };
         assert_eq!(frames.len(), 16);
         for (to, _) in &frames[silent..] {
-            decisions.take_note(&note(flow(1), *to, FlowEvent::Absent), at(took));
+            balancer.handle_flow_update(&note(flow(1), *to, FlowEvent::Absent), at(took));
         }
         let mut next = 0;
-        while decisions.due_searches(&view, at(next)).is_empty() {
+        while balancer.due_searches(&view, at(next)).is_empty() {
             next += 1;
         }
         assert_eq!(next, limit, "{silent} silent, the others took {took} ms");
--- a/crates/flows/tests/all/search_size.rs
+++ b/crates/flows/tests/all/search_size.rs
@@ -1,4 +1,4 @@
-//! Searches in fleets of any size.
+//! Searches in fleets of different sizes.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -22,7 +22,7 @@
     ))
 }
 
-/// A start of the target beside an agent; each has a name of its own.
+/// A start of the target beside an agent; each start has its own name.
 fn numbered_target(number: u32, start: u32) -> PublishedTarget {
     let [_, _, high, low] = number.to_be_bytes();
     PublishedTarget {
@@ -39,20 +39,20 @@
         .collect()
 }
 
-struct RebornCase {
+struct FleetRestartCase {
     name: &'static str,
     targets: u32,
-    /// Whether the entries of the former starts still stand.
+    /// Whether the entries of the former starts are still listed.
     former: bool,
 }
 
-// Symptom: for four and a half seconds after a loss of power no lost flow is told, and each client
-// waits for its deadline. Sequence: all 136 targets start anew under other names; for three
-// heartbeats the store lists their former starts beside them. Cause: a search counted both, found
-// more than 256, and went no further than the flow's candidates, without a word.
+// All 136 targets restart under other names after a power loss, and for three heartbeats the store
+// lists their former starts beside them. If a search counts both, finds more than 256, and silently
+// stops at the flow's candidates, no lost flow is reported for four and a half seconds, and each
+// client waits for its deadline.
 #[test]
-fn a_lost_flow_is_told_at_any_size_after_a_rebirth_of_all() {
-    let case = |name, targets, former| RebornCase {
+fn a_lost_flow_is_reported_at_any_fleet_size_after_a_restart_of_all() {
+    let case = |name, targets, former| FleetRestartCase {
         name,
         targets,
         former,
@@ -70,26 +70,25 @@
         let first = u32::from(!case.former);
         builder.take(&catalog(fleet(case.targets, first..2)), at(0));
         let view = builder.build(at(0));
-        let decisions = FlowBalancer::new(balancer());
-        let mut fleet = EmptyFleet::new(&decisions, &view, []);
+        let balancer = FlowBalancer::new(balancer());
+        let mut fleet = EmptyFleet::new(&balancer, &view, []);
         let told = fleet.search(1, 249);
-        assert!(told.is_some(), "{}: not told", case.name);
+        assert!(told.is_some(), "{}: not reported", case.name);
         let all: BTreeSet<_> = (0..case.targets).map(numbered_agent).collect();
         let shown: BTreeSet<_> = fleet.shown.keys().copied().collect();
         assert_eq!(
             shown, all,
-            "{}: everybody who may hold it is asked",
+            "{}: all possible holders are queried",
             case.name
         );
         let twice = fleet.shown.values().filter(|times| **times > 1).count();
-        assert_eq!(twice, 0, "{}: nobody is asked twice", case.name);
+        assert_eq!(twice, 0, "{}: no agent is queried twice", case.name);
     }
 }
 
-// Symptom: a filing in progress is cut off while its target lives. Sequence: a fleet of hundreds; all
-// agents but one have said that they do not hold the flow; that one is cut off, and its target listed.
-// Cause (of the mutation that this test is for): a large fleet's search that ends before everybody has
-// answered, on a route whose requests may run once.
+// In a fleet of hundreds, all agents but one have reported a flow as absent; that one is cut off,
+// and its target is listed. If a large fleet's search ends before all agents have answered, on a
+// route whose requests may run only once, a filing in progress is cut off while its target lives.
 #[test]
 fn one_listed_agent_that_is_silent_keeps_a_flow_of_a_large_fleet() {
     let mut catalog = catalog(fleet(500, 0..1));
@@ -98,48 +97,48 @@
     catalog.routes = routes.into();
     let view = view_of(catalog);
     for number in [0, 1, 250, 499] {
-        let decisions = FlowBalancer::new(balancer());
-        let mut fleet = EmptyFleet::new(&decisions, &view, [numbered_agent(number)]);
+        let balancer = FlowBalancer::new(balancer());
+        let mut fleet = EmptyFleet::new(&balancer, &view, [numbered_agent(number)]);
         assert_eq!(fleet.search(1, 1_900), None, "agent {number} is silent");
         assert!(fleet.shown.contains_key(&numbered_agent(number)));
     }
 }
 
-// Symptom: at a size nobody tried, lost flows are not told, and no log says why. Sequence: a search would
-// have to ask more agents than its budget of bytes allows. Cause: it ended in silence.
+// A search would have to query more agents than its budget of bytes allows. If it just ends, lost
+// flows are not reported, and no log says why.
 #[test]
-fn a_search_that_can_never_ask_everybody_says_so_once() {
+fn a_search_that_can_never_query_all_holders_is_abandoned_once() {
     let mut builder = builder();
     builder.take(&catalog(fleet(40_000, 0..1)), at(0));
     let view = builder.build(at(0));
-    let decisions = FlowBalancer::new(balancer());
-    decisions.take_packet(&data(flow(1)), b"data", &view, at(0));
-    let mut said = Vec::new();
+    let balancer = FlowBalancer::new(balancer());
+    balancer.handle_packet(&data(flow(1)), b"data", &view, at(0));
+    let mut abandoned = Vec::new();
     for millis in 1..1_900 {
-        for due in decisions.due_searches(&view, at(millis)) {
+        for due in balancer.due_searches(&view, at(millis)) {
             match due {
-                DueSearch::Abandoned { holders, .. } => said.push(holders),
+                DueSearch::Abandoned { holders, .. } => abandoned.push(holders),
                 other => panic!("{other:?}"),
             }
         }
         if millis == 500 {
-            decisions.take_packet(&data(flow(1)), b"data", &view, at(millis));
+            balancer.handle_packet(&data(flow(1)), b"data", &view, at(millis));
         }
     }
-    assert_eq!(said, [40_000]);
+    assert_eq!(abandoned, [40_000]);
 }
 
 struct LinkCase {
     name: &'static str,
-    /// Bytes a second.
+    /// Bytes per second.
     link: u64,
-    /// Bytes of searches in the first second at most.
+    /// Limit on the bytes of searches in the first second.
     most: usize,
 }
 
-// Symptom: after a loss of power a balancer behind a link of 2.9 Mbit/s answers nobody for seconds.
-// Sequence: hundreds of clients send on flows that are gone; each is searched for; the searches fill
-// the link. Cause: what they may send was drawn from a link of 11 Mbit/s.
+// Hundreds of clients send on flows that are gone after a power loss, and each flow is searched
+// for. If the budget assumes a link of 11 Mbit/s, searches saturate a link of 2.9 Mbit/s, and the
+// balancer answers nobody for seconds.
 #[test]
 fn searches_fill_a_part_of_the_link_that_there_is() {
     let cases = [
@@ -154,7 +153,7 @@
             most: 410_000,
         },
         LinkCase {
-            name: "10 Gbit/s: then the processor binds",
+            name: "10 Gbit/s: the processor is the limit",
             link: 1_250_000_000,
             most: 410_000,
         },
@@ -163,11 +162,11 @@
     builder.take(&catalog(fleet(136, 0..1)), at(0));
     let view = builder.build(at(0));
     for case in cases {
-        let decisions = FlowBalancer::new(balancer()).with_link(case.link);
-        // Only what a search may choose to send: its candidates are asked whatever the budget says.
+        let balancer = FlowBalancer::new(balancer()).with_link(case.link);
+        // Count only what depends on the budget: candidates are queried whatever it says.
         let mut chosen = 0;
         for port in 0..400 {
-            let step = decisions.take_packet(&data(flow(port)), &[0; 350], &view, at(0));
+            let step = balancer.handle_packet(&data(flow(port)), &[0; 350], &view, at(0));
             let BalancerStep::Search(frames) = step else {
                 panic!("not searched: {step:?}");
             };
@@ -177,8 +176,8 @@
             chosen += if direct { frames.len() * 410 } else { 0 };
         }
         for millis in 1..1_000 {
-            for due in decisions.due_searches(&view, at(millis)) {
-                let DueSearch::Ask { frames, .. } = due else {
+            for due in balancer.due_searches(&view, at(millis)) {
+                let DueSearch::Query { frames, .. } = due else {
                     continue;
                 };
                 chosen += frames.len() * 410;
@@ -190,7 +189,7 @@
 }
 
 #[test]
-fn a_view_says_why_it_proves_nothing() {
+fn a_view_reports_why_it_is_incomplete() {
     let mut builder = builder();
     builder.take(&catalog(fleet(3, 0..1)), at(0));
     let coverage = |builder: &mut lovagelatch_flows::FlowViewBuilder, millis| {
@@ -209,7 +208,7 @@
 }
 
 #[test]
-fn agents_of_large_fleets_have_names_of_their_own() {
+fn agents_of_large_fleets_have_unique_names() {
     let agents: BTreeSet<_> = (0..2_000).map(numbered_agent).collect();
     assert_eq!(agents.len(), 2_000);
     assert_eq!(
--- a/crates/flows/tests/all/warmup.rs
+++ b/crates/flows/tests/all/warmup.rs
@@ -434,7 +434,7 @@
     port: u16,
     now: Moment,
 ) -> Option<(usize, u128)> {
-    let (_, frame) = sent(decisions.take_packet(&opening(flow(port)), b"syn", view, now));
+    let (_, frame) = sent(decisions.handle_packet(&opening(flow(port)), b"syn", view, now));
     let limit = frame.warmup?;
     Some((limit.rate() as usize, limit.left().as_millis()))
 }
@@ -506,17 +506,17 @@
         in_progress,
         ..idle_load(agent(number))
     };
-    decisions.take_load(&report(1, Some(3), 0), at(0));
-    decisions.take_load(&report(2, None, 8), at(0));
-    decisions.take_load(&report(3, None, 8), at(0));
+    decisions.record_load(&report(1, Some(3), 0), at(0));
+    decisions.record_load(&report(2, None, 8), at(0));
+    decisions.record_load(&report(3, None, 8), at(0));
     let placed = (0..60).map(|port| {
-        let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(1));
+        let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(1));
         sent(step).0
     });
     let to_cold = placed.filter(|to| *to == agent(1)).count();
     assert_eq!(to_cold, 3);
     // Its agent's word is old: the agent decides.
-    let step = decisions.take_packet(&opening(flow(100)), b"syn", &view, at(1_100));
+    let step = decisions.handle_packet(&opening(flow(100)), b"syn", &view, at(1_100));
     assert_eq!(sent(step).0, agent(1));
 }
 
--- a/crates/flows/tests/all/zones.rs
+++ b/crates/flows/tests/all/zones.rs
@@ -112,7 +112,7 @@
         };
         let mut used = [0; 4];
         for port in 0..FLOWS {
-            let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(0));
+            let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(0));
             let (to, frame) = sent(step);
             check(to, &frame);
             used[usize::from(zone_number(to))] += 1;
@@ -121,7 +121,7 @@
             check(due.to, &due.frame);
         }
         for port in 0..FLOWS {
-            let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(200));
+            let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(200));
             let (to, frame) = sent(step);
             check(to, &frame);
         }
@@ -140,7 +140,7 @@
     let all = ["hall-a", "hall-b", "hall-c", "hall-d"];
     let view = evacuated_view(28, &all, 7);
     for port in 0..FLOWS {
-        let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(0));
+        let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(0));
         assert_eq!(step, BalancerStep::Reset(RefusalReason::Evacuated));
     }
     // Forty targets, of which one is not in an evacuated zone.
@@ -150,7 +150,7 @@
     few.targets = catalog(targets).targets;
     let view = view_of(few);
     for port in 0..FLOWS {
-        let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(5_000));
+        let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(5_000));
         assert_eq!(sent(step).0, agent(4));
     }
 }
@@ -162,10 +162,10 @@
 fn nothing_is_placed_before_the_evacuated_zones_are_known() {
     let decisions = FlowBalancer::new(balancer());
     let untold = evacuated_view(4, &[], 0);
-    let step = decisions.take_packet(&opening(flow(1)), b"syn", &untold, at(0));
+    let step = decisions.handle_packet(&opening(flow(1)), b"syn", &untold, at(0));
     assert_eq!(step, BalancerStep::Hold);
     let told = evacuated_view(4, &["hall-a"], 1);
-    let step = decisions.take_packet(&opening(flow(1)), b"syn", &told, at(10));
+    let step = decisions.handle_packet(&opening(flow(1)), b"syn", &told, at(10));
     assert_ne!(zone_number(sent(step).0), 1);
 }
 
@@ -177,16 +177,16 @@
     let view = builder.build(at(0));
     let mut homes = Vec::new();
     for port in 0..FLOWS {
-        let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(0));
+        let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(0));
         let (to, _) = sent(step);
-        decisions.take_note(&note(flow(port), to, FlowEvent::Answered), at(1));
-        decisions.take_note(&note(flow(port), to, FlowEvent::Opened), at(2));
+        decisions.handle_flow_update(&note(flow(port), to, FlowEvent::Answered), at(1));
+        decisions.handle_flow_update(&note(flow(port), to, FlowEvent::Opened), at(2));
         homes.push(to);
     }
     builder.take(&evacuated(4, &["hall-a", "hall-b"], 2), at(10));
     let view = builder.build(at(10));
     for (port, home) in (0..).zip(&homes) {
-        let step = decisions.take_packet(&data(flow(port)), b"data", &view, at(11));
+        let step = decisions.handle_packet(&data(flow(port)), b"data", &view, at(11));
         assert_eq!(sent(step).0, *home);
     }
     assert!(homes.iter().any(|home| zone_number(*home) == 1));
@@ -194,7 +194,7 @@
     builder.take(&evacuated(4, &["hall-c"], 3), at(20));
     let view = builder.build(at(20));
     let placed = (FLOWS..2 * FLOWS).map(|port| {
-        let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(3_000));
+        let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(3_000));
         zone_number(sent(step).0)
     });
     let placed: Vec<_> = placed.collect();
@@ -209,10 +209,10 @@
 fn a_late_copy_vouches_for_no_zone() {
     let decisions = FlowBalancer::new(balancer());
     let view = evacuated_view(1, &[], 1);
-    let (to, _) = sent(decisions.take_packet(&opening(flow(1)), b"syn", &view, at(0)));
-    decisions.take_note(&note(flow(1), to, FlowEvent::Answered), at(1));
+    let (to, _) = sent(decisions.handle_packet(&opening(flow(1)), b"syn", &view, at(0)));
+    decisions.handle_flow_update(&note(flow(1), to, FlowEvent::Answered), at(1));
     let view = evacuated_view(1, &["hall-a"], 2);
-    let (to, copy) = sent(decisions.take_packet(&opening(flow(1)), b"syn", &view, at(200)));
+    let (to, copy) = sent(decisions.handle_packet(&opening(flow(1)), b"syn", &view, at(200)));
     assert_eq!((to, copy.zones_revision), (agent(1), 0));
 
     let mut knows = old_agent();
@@ -360,16 +360,16 @@
 fn a_balancer_goes_by_an_agents_later_word() {
     let decisions = FlowBalancer::new(balancer());
     let view = evacuated_view(2, &[], 5);
-    decisions.take_load(&report(1, 6, true), at(0));
+    decisions.record_load(&report(1, 6, true), at(0));
     for port in 0..FLOWS {
-        let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(0));
+        let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(0));
         let (to, frame) = sent(step);
         assert_eq!((to, frame.rest.len()), (agent(2), 0));
     }
     // The zone is back by a later word than the agent has heard.
     let view = evacuated_view(2, &[], 8);
     let back = (FLOWS..2 * FLOWS).any(|port| {
-        let step = decisions.take_packet(&opening(flow(port)), b"syn", &view, at(0));
+        let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(0));
         sent(step).0 == agent(1)
     });
     assert!(back);
@@ -432,7 +432,7 @@
         if let Some(notice) = decisions.zone_notice(&report, &view, at(1)) {
             agent.take_zone(&notice, at(1));
         }
-        let step = decisions.take_packet(&opening(flow(1)), b"syn", &view, at(2));
+        let step = decisions.handle_packet(&opening(flow(1)), b"syn", &view, at(2));
         let (_, offer) = sent(step);
         let (step, _) = agent.take_frame(offer, &opening(flow(1)), at(2));
         let taken = matches!(step, AgentStep::Deliver { .. });
--- a/tests/matrix/src/opaque/world.rs
+++ b/tests/matrix/src/opaque/world.rs
@@ -401,7 +401,7 @@
         let bytes = encode(&packet);
         let step = balancer
             .decisions
-            .take_packet(&packet.head, &bytes, &balancer.view, now);
+            .handle_packet(&packet.head, &bytes, &balancer.view, now);
         self.carry_out(number, step, packet);
     }
 
@@ -420,7 +420,7 @@
                 let notice = balancer
                     .decisions
                     .zone_notice(&note.load, &balancer.view, now);
-                let outcome = balancer.decisions.take_note(&note, now);
+                let outcome = balancer.decisions.handle_flow_update(&note, now);
                 if let Some(reset) = outcome.reset {
                     self.reset_lost(&reset);
                 }
@@ -428,17 +428,17 @@
             }
             (PeerFrame::Load(report), _) => {
                 let notice = balancer.decisions.zone_notice(&report, &balancer.view, now);
-                balancer.decisions.take_load(&report, now);
+                balancer.decisions.record_load(&report, now);
                 self.tell_zone(number, report.agent, notice);
             }
             (PeerFrame::ErrandEnd(word), _) => {
-                if let Some(reset) = balancer.decisions.take_errand_word(&word, now) {
+                if let Some(reset) = balancer.decisions.handle_search_result(&word, now) {
                     self.reset_lost(&reset);
                 }
             }
             (PeerFrame::Unknown { agent }, Some(packet)) => {
                 let bytes = encode(&packet);
-                let step = balancer.decisions.take_unknown(
+                let step = balancer.decisions.handle_returned_packet(
                     &packet.head,
                     &bytes,
                     agent,
@@ -460,10 +460,10 @@
     fn carry_out(&mut self, number: usize, step: BalancerStep, packet: Packet) {
         match step {
             BalancerStep::Send {
-                to, frame, through, ..
+                to, frame, relay, ..
             } => {
                 // The relay's zone reaches both.
-                if through.is_some_and(|relay| !self.is_cut(number, relay)) {
+                if relay.is_some_and(|relay| !self.is_cut(number, relay)) {
                     let frame = PeerFrame::Packet(frame.clone());
                     self.send(Datagram::Frame(to, frame, Some(packet)));
                 }
@@ -851,7 +851,7 @@
         let due = balancer.decisions.due_offers(&balancer.view, now);
         let searches = balancer.decisions.due_searches(&balancer.view, now);
         let lost = balancer.decisions.lost_flows(&balancer.view, now);
-        balancer.decisions.tend(FLOW_LIFETIME, now);
+        balancer.decisions.expire_idle(FLOW_LIFETIME, now);
         let own = balancer.own;
         let probes = balancer.decisions.due_probes(now);
         for agent in probes {
@@ -867,7 +867,7 @@
         }
         for due in searches {
             match due {
-                DueSearch::Ask { bytes, frames, .. } => {
+                DueSearch::Query { bytes, frames, .. } => {
                     self.search(number, frames, decode(&bytes));
                 }
                 DueSearch::Lost(reset) => self.reset_lost(&reset),
