--- a/crates/flows/src/balancer/entry.rs
+++ b/crates/flows/src/balancer/entry.rs
@@ -100,8 +100,8 @@
 
     /// Creates the entry of a flow that no target holds.
     pub(super) fn lost(now: Moment) -> Self {
-        let nobody = AgentAddress(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
-        Self::new(nobody, ServiceId::default(), EntryState::Lost, now)
+        let no_agent = AgentAddress(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
+        Self::new(no_agent, ServiceId::default(), EntryState::Lost, now)
     }
 }
 
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -106,8 +106,8 @@
     },
     /// No target holds the flow.
     Lost(FlowReset),
-    /// A single search may not query so many possible holders: whether the flow is lost stays
-    /// unknown.
+    /// The flow has more possible holders than a single search may query, so it stays unknown
+    /// whether it is lost.
     Abandoned {
         /// The flow that was searched for.
         flow: FlowKey,
@@ -151,13 +151,13 @@
             }
             search.last_packet = now;
             search.acknowledged = packet.acknowledged;
-            let queried = self.agents_to_query(packet.flow, search, view, now);
-            return self.query_step(packet.flow, search, queried, now);
+            let agents = self.agents_to_query(packet.flow, search, view, now);
+            return self.query_step(packet.flow, search, agents, now);
         }
-        let (mut search, queried) = holders::begin_search(packet, bytes, except, route, view, now);
+        let (mut search, agents) = holders::begin_search(packet, bytes, except, route, view, now);
         self.drop_silent(&mut search, view, now);
         self.reschedule(now + QUERY_TIMEOUT, packet.flow, &mut search);
-        let step = self.query_step(packet.flow, &mut search, queried, now);
+        let step = self.query_step(packet.flow, &mut search, agents, now);
         shard.searches.insert(packet.flow, search, SEARCH_TTL, now);
         step
     }
@@ -166,13 +166,13 @@
         &self,
         flow: FlowKey,
         search: &mut FlowSearch,
-        queried: QueriedAgents,
+        agents: QueriedAgents,
         now: Moment,
     ) -> BalancerStep {
-        if queried.is_empty() {
+        if agents.is_empty() {
             return BalancerStep::Drop;
         }
-        BalancerStep::Search(self.search_frames(flow, search, queried, now))
+        BalancerStep::Search(self.search_frames(flow, search, agents, now))
     }
 
     /// Returns the next step of each search that is due.
@@ -192,7 +192,7 @@
     }
 
     /// Continues searches that are waiting for silent agents: the view has become complete, and
-    /// tells which of these agents' targets are gone.
+    /// shows which of these agents' targets are gone.
     fn resume_retried(&self, now: Moment) {
         for shard in &self.shards {
             shard.lock().searches.visit(|flow, search| {
@@ -225,9 +225,9 @@
             search.resume();
         }
         self.drop_silent(search, view, now);
-        let queried = match search.phase {
+        let agents = match search.phase {
             SearchPhase::Candidates => match self.widen(flow, search, view, now) {
-                WidenOutcome::Query(queried) => queried,
+                WidenOutcome::Query(agents) => agents,
                 WidenOutcome::BudgetExhausted => {
                     self.reschedule(now + BUDGET_RETRY_INTERVAL, flow, search);
                     return None;
@@ -258,11 +258,11 @@
             QUERY_TIMEOUT
         };
         self.reschedule(now + wait, flow, search);
-        if queried.is_empty() {
+        if agents.is_empty() {
             return None;
         }
         search.queried_at = now;
-        let frames = self.search_frames(flow, search, queried, now);
+        let frames = self.search_frames(flow, search, agents, now);
         let bytes = search.bytes.clone();
         Some(DueSearch::Query {
             flow,
@@ -275,7 +275,7 @@
         &self,
         flow: FlowKey,
         search: &mut FlowSearch,
-        queried: QueriedAgents,
+        agents: QueriedAgents,
         now: Moment,
     ) -> SearchFrames {
         let mut loads = self.loads.lock();
@@ -285,7 +285,7 @@
             budget: &mut self.budget.lock(),
             now,
         };
-        let frames = builder.build(flow, search, queried);
+        let frames = builder.build(flow, search, agents);
         for query in search
             .pending
             .iter()
@@ -301,11 +301,11 @@
     /// targets. A search on its own takes 400 ms or more to detect this, and would do so again for
     /// each lost flow.
     ///
-    /// If the store no longer lists the target, or the agent announced its stop, this is proof of
-    /// absence. If the store lists the target, it counts as unreachable, provided that requests may
-    /// be run again. Machines that never come back after a power loss stay listed for three
-    /// heartbeats (3.6 s); without this, no flow was known to be lost until then, and 1.2 s of a
-    /// fleet's requests on kept flows failed.
+    /// Once the store no longer lists the target, this silence proves that it is gone, and so does
+    /// an announced stop of its agent. While the target is listed, it counts as unreachable,
+    /// provided that requests may be run again. Machines that never come back after a power loss
+    /// stay listed for three heartbeats (3.6 s); without this, no flow was known to be lost until
+    /// then, and 1.2 s of a fleet's requests on kept flows failed.
     fn drop_silent(&self, search: &mut FlowSearch, view: &FlowView, now: Moment) {
         let loads = self.loads.lock();
         let FlowSearch {
@@ -368,7 +368,7 @@
             return pending_agents(search);
         }
         match self.widen(flow, search, view, now) {
-            WidenOutcome::Query(queried) => queried,
+            WidenOutcome::Query(agents) => agents,
             WidenOutcome::BudgetExhausted | WidenOutcome::TooManyHolders(_) => {
                 pending_agents(search)
             }
@@ -400,10 +400,10 @@
         search.phase = SearchPhase::AllHolders;
         let pending = pending_agents(search);
         let not_queried = search.not_queried(all);
-        let mut queried = search.add_queries(not_queried.into_iter(), now);
-        queried.extend(pending);
+        let mut agents = search.add_queries(not_queried.into_iter(), now);
+        agents.extend(pending);
         self.drop_silent(search, view, now);
-        WidenOutcome::Query(queried)
+        WidenOutcome::Query(agents)
     }
 
     /// Handles an agent's report that it does not hold a flow. Returns a reset if no agent does.
--- a/crates/flows/src/balancer/search_frames.rs
+++ b/crates/flows/src/balancer/search_frames.rs
@@ -63,38 +63,38 @@
         &mut self,
         flow: FlowKey,
         search: &mut FlowSearch,
-        queried: QueriedAgents,
+        agents: QueriedAgents,
     ) -> SearchFrames {
         let packet_bytes = search.bytes.len();
-        let direct_bytes = queried.len() * (packet_bytes + FRAME_OVERHEAD_BYTES);
-        let few = queried.len() < MIN_DELEGATED_AGENTS;
+        let direct_bytes = agents.len() * (packet_bytes + FRAME_OVERHEAD_BYTES);
+        let few = agents.len() < MIN_DELEGATED_AGENTS;
         let cheap =
-            queried.len() <= CANDIDATES && self.budget.try_spend_direct(direct_bytes, self.now);
+            agents.len() <= CANDIDATES && self.budget.try_spend_direct(direct_bytes, self.now);
         if few || cheap {
-            mark_direct(search, &queried);
-            let frames = queried
+            mark_direct(search, &agents);
+            let frames = agents
                 .iter()
                 .map(|next| (next.agent, query_frame(self.own_address, next)));
             return frames.collect();
         }
-        let bytes = delegated_bytes(queried.len(), packet_bytes);
+        let bytes = delegated_bytes(agents.len(), packet_bytes);
         self.budget.charge(bytes, self.now);
-        self.build_delegated(flow, search, queried)
+        self.build_delegated(flow, search, agents)
     }
 
     fn build_delegated(
         &self,
         flow: FlowKey,
         search: &mut FlowSearch,
-        queried: QueriedAgents,
+        agents: QueriedAgents,
     ) -> SearchFrames {
-        let delegates = self.choose_delegates(flow, search, &queried);
+        let delegates = self.choose_delegates(flow, search, &agents);
         let is_delegate = |holder: &ServiceAgent| {
             delegates
                 .iter()
                 .any(|delegate| delegate.agent == holder.agent)
         };
-        let others: QueriedAgents = queried
+        let others: QueriedAgents = agents
             .into_iter()
             .filter(|holder| !is_delegate(holder))
             .collect();
@@ -124,16 +124,16 @@
         &self,
         flow: FlowKey,
         search: &FlowSearch,
-        queried: &[ServiceAgent],
+        agents: &[ServiceAgent],
     ) -> SmallVec<[ServiceAgent; 4]> {
-        let delegate_count = queried.len().div_ceil(ERRAND_AGENTS);
+        let delegate_count = agents.len().div_ceil(ERRAND_AGENTS);
         let failed = |agent| {
             search
                 .pending
                 .iter()
                 .any(|query| query.delegate == Some(agent))
         };
-        let not_failed: SmallVec<[ServiceAgent; CANDIDATES]> = queried
+        let not_failed: SmallVec<[ServiceAgent; CANDIDATES]> = agents
             .iter()
             .filter(|holder| !failed(holder.agent))
             .copied()
@@ -146,7 +146,7 @@
             not_failed.iter().filter(heard_recently).copied().collect();
         if eligible.len() < delegate_count {
             eligible = if not_failed.len() < delegate_count {
-                queried.iter().copied().collect()
+                agents.iter().copied().collect()
             } else {
                 not_failed
             };
@@ -161,10 +161,10 @@
 }
 
 /// Records that the balancer queries these agents directly.
-fn mark_direct(search: &mut FlowSearch, queried: &[ServiceAgent]) {
+fn mark_direct(search: &mut FlowSearch, agents: &[ServiceAgent]) {
     for query in &mut search.pending {
-        let mut queried = queried.iter();
-        if queried.any(|holder| holder.agent == query.holder.agent) {
+        let mut agents = agents.iter();
+        if agents.any(|holder| holder.agent == query.holder.agent) {
             query.delegate = None;
         }
     }
--- a/crates/flows/tests/all/balancer.rs
+++ b/crates/flows/tests/all/balancer.rs
@@ -58,8 +58,8 @@
     elsewhere.service_address.set_port(9);
     let step = balancer.handle_packet(&opening(elsewhere), b"syn", &claims_view(1), at(0));
     assert_eq!(step, BalancerStep::Reset(RefusalReason::NoRoute));
-    let nobody = view_of(catalog(Vec::new()));
-    let step = balancer.handle_packet(&opening(flow(1)), b"syn", &nobody, at(0));
+    let without_targets = view_of(catalog(Vec::new()));
+    let step = balancer.handle_packet(&opening(flow(1)), b"syn", &without_targets, at(0));
     assert_eq!(step, BalancerStep::Reset(RefusalReason::NoTarget));
 }
 
--- a/crates/flows/tests/all/loss.rs
+++ b/crates/flows/tests/all/loss.rs
@@ -227,7 +227,7 @@
             listed: true,
         },
         AnsweredCase {
-            name: "a packet of the open flow came as well",
+            name: "a packet of the open flow came too",
             data_before: true,
             listed: true,
         },
@@ -283,7 +283,7 @@
     struct RestartCase {
         name: &'static str,
         /// When another balancer relays the stop, and how old the stop is then, in milliseconds.
-        told: Option<(u64, u64)>,
+        relayed_stop: Option<(u64, u64)>,
         /// When the agent is heard again, in milliseconds; `None` for never.
         back: Option<u64>,
         /// When the silence ends, in milliseconds.
@@ -294,35 +294,35 @@
     let cases = [
         RestartCase {
             name: "nobody heard of a stop",
-            told: None,
+            relayed_stop: None,
             back: None,
             end: 3_000,
             expected: 1,
         },
         RestartCase {
             name: "another balancer heard of it",
-            told: Some((1_200, 400)),
+            relayed_stop: Some((1_200, 400)),
             back: None,
             end: 5_000,
             expected: 0,
         },
         RestartCase {
             name: "the successor never comes",
-            told: Some((1_200, 400)),
+            relayed_stop: Some((1_200, 400)),
             back: None,
             end: 800 + restart,
             expected: 1,
         },
         RestartCase {
             name: "the successor falls silent without an announcement",
-            told: Some((1_200, 400)),
+            relayed_stop: Some((1_200, 400)),
             back: Some(2_000),
             end: 5_000,
             expected: 1,
         },
         RestartCase {
             name: "the stop is relayed after the successor has started",
-            told: Some((2_100, 1_300)),
+            relayed_stop: Some((2_100, 1_300)),
             back: Some(2_000),
             end: 5_000,
             expected: 1,
@@ -338,7 +338,7 @@
                 balancer.record_load(&idle_load(agent(1)), at(now));
                 balancer.handle_packet(&data(flow(1)), b"data", &view, at(now));
             }
-            if let Some((_, age)) = case.told.filter(|(told, _)| *told == now) {
+            if let Some((_, age)) = case.relayed_stop.filter(|(at, _)| *at == now) {
                 let stop = AgentStop {
                     agent: agent(1),
                     age: Duration::from_millis(age),
@@ -394,7 +394,7 @@
         if case.heard {
             balancer.record_load(&idle_load(agent(1)), at(9_500));
         }
-        let mut told = None;
+        let mut reported = None;
         for now in (10_000..=17_000).step_by(50) {
             balancer.due_probes(at(now));
             balancer.record_load(&idle_load(agent(2)), at(now));
@@ -405,13 +405,13 @@
             let due = balancer.due_searches(&view, at(now));
             let ended = due.iter().any(|due| matches!(due, DueSearch::Lost(_)));
             if ended || outcome.reset.is_some() || step == BalancerStep::Lost {
-                told.get_or_insert(now);
+                reported.get_or_insert(now);
             }
         }
-        let told = told.expect("reported eventually");
+        let reported = reported.expect("reported eventually");
         // A search checks again every 250 ms and restarts every two seconds.
         let late = case.expected..=case.expected + 500;
-        assert!(late.contains(&told), "{}: {told}", case.name);
+        assert!(late.contains(&reported), "{}: {reported}", case.name);
     }
 }
 
@@ -499,9 +499,9 @@
         // With idempotent requests the agent's silence alone is enough, so these are reported
         // earlier.
         if !case.idempotent {
-            let told: Vec<_> = lost.iter().map(|(_, at)| *at).collect();
+            let reported: Vec<_> = lost.iter().map(|(_, at)| *at).collect();
             // A search that is no longer held up takes one more step.
-            assert_eq!(told, [12_000, 12_050], "{}", case.name);
+            assert_eq!(reported, [12_000, 12_050], "{}", case.name);
         }
     }
 }
--- a/crates/flows/tests/all/search.rs
+++ b/crates/flows/tests/all/search.rs
@@ -440,7 +440,7 @@
     let second_query = balancer
         .due_searches(&view, at(160))
         .into_iter()
-        .find(|due| matches!(due, DueSearch::Query { flow: asked, .. } if *asked == flow(1)));
+        .find(|due| matches!(due, DueSearch::Query { flow: queried, .. } if *queried == flow(1)));
     let frames = single_query_frames(second_query.into_iter().collect());
     assert!(matches!(frames[..], [(to, PeerFrame::Packet(_))] if to == agent(3)));
     // The result of another delegated search says nothing about them.
--- a/crates/flows/tests/all/search_silence.rs
+++ b/crates/flows/tests/all/search_silence.rs
@@ -114,10 +114,14 @@
         let mut fleet = EmptyFleet::new(&balancer, &view, [silent]);
         let expected = [case.first, case.later, case.later];
         for (port, limit) in (1..).zip(expected) {
-            let told = fleet.search(port, 1_900);
-            let within = limit.map(|limit| told.is_some_and(|(after, _)| after <= limit));
-            assert!(within.unwrap_or(told.is_none()), "{}: {told:?}", case.name);
-            let reason = told.map(|(_, reason)| reason);
+            let reported = fleet.search(port, 1_900);
+            let within = limit.map(|limit| reported.is_some_and(|(after, _)| after <= limit));
+            assert!(
+                within.unwrap_or(reported.is_none()),
+                "{}: {reported:?}",
+                case.name
+            );
+            let reason = reported.map(|(_, reason)| reason);
             let proved = if case.listed {
                 LossReason::AgentSilent
             } else {
@@ -146,15 +150,15 @@
         let query_count = fleet.query_count(silent);
         // The agent answers the next probe, and is queried without another packet of the client.
         balancer.record_load(&idle_load(silent), at(fleet.millis));
-        let mut asked = None;
+        let mut requeried = None;
         for _ in 0..300 {
             assert_eq!(fleet.step(1), None);
             if fleet.query_count(silent) > query_count {
-                asked = Some(fleet.millis);
+                requeried = Some(fleet.millis);
                 break;
             }
         }
-        assert!(asked.is_some(), "away for {away} ms: not queried again");
+        assert!(requeried.is_some(), "away for {away} ms: not queried again");
         balancer.handle_flow_update(&note(flow(1), silent, FlowEvent::Opened), at(fleet.millis));
         assert_eq!(balancer.agent_of(&flow(1)), Some(silent));
     }
--- a/crates/flows/tests/all/search_size.rs
+++ b/crates/flows/tests/all/search_size.rs
@@ -72,8 +72,8 @@
         let view = builder.build(at(0));
         let balancer = FlowBalancer::new(balancer());
         let mut fleet = EmptyFleet::new(&balancer, &view, []);
-        let told = fleet.search(1, 249);
-        assert!(told.is_some(), "{}: not reported", case.name);
+        let reported = fleet.search(1, 249);
+        assert!(reported.is_some(), "{}: not reported", case.name);
         let all: BTreeSet<_> = (0..case.targets).map(numbered_agent).collect();
         let shown: BTreeSet<_> = fleet.shown.keys().copied().collect();
         assert_eq!(
