--- a/bins/balancer/src/opaque/catalog.rs
+++ b/bins/balancer/src/opaque/catalog.rs
@@ -92,7 +92,7 @@
         let now = self.state.packets.clock.now();
         let stops = self.state.packets.balancer.direct_stops(now);
         let mut member = self.state.member.lock();
-        member.note_stops(&stops, now);
+        member.record_stops(&stops, now);
         let actions = member.advance(now);
         drop(member);
         self.carry_out(actions);
@@ -143,7 +143,7 @@
                     self.publish();
                     self.note_zones(&catalog, now);
                 }
-                CatalogAction::TakeStops(stops) => self.take_stops(&stops),
+                CatalogAction::RecordStops(stops) => self.take_stops(&stops),
                 CatalogAction::Notice(notice) => log_notice(&self.state.log, &notice),
             }
         }
@@ -159,11 +159,11 @@
     fn brief_builder(&self) -> bool {
         let now = self.state.packets.clock.now();
         let member = self.state.member.lock();
-        let (ready, trouble) = (member.is_ready(), member.trouble());
+        let (ready, trouble) = (member.is_ready(), member.last_store_failure());
         let informed = member.is_informed(now);
-        let returned = member.returned();
-        let zones_since = member.zones_since();
-        let stops_since = member.stops_since();
+        let returned = member.store_recovered_at();
+        let zones_since = member.zones_read_at();
+        let stops_since = member.stops_known_since();
         let cut_off = member.is_cut_off(now);
         drop(member);
         self.state
@@ -186,7 +186,7 @@
     }
 
     fn note_zones(&self, catalog: &Catalog, now: Moment) {
-        let told = self.state.member.lock().zones_since();
+        let told = self.state.member.lock().zones_read_at();
         let mut zones = self.state.zones.lock();
         zones.note(catalog, told, now, &self.state.log);
     }
@@ -375,7 +375,7 @@
 
 fn log_notice(log: &Logger, notice: &CatalogNotice) {
     match notice {
-        CatalogNotice::Taken {
+        CatalogNotice::Applied {
             head,
             version,
             from,
@@ -389,9 +389,9 @@
             "decision" => DecisionKind::ConfigRefused, "error" => error.to_string()),
         CatalogNotice::Conflict(peer) => warn!(log, "another content of the same revision";
             "decision" => DecisionKind::ConfigRefused, "balancer" => peer.to_string()),
-        CatalogNotice::StoreLost(failure) => warn!(log, "store lost";
+        CatalogNotice::StoreFailed(failure) => warn!(log, "store lost";
             "reason" => format!("{failure:?}")),
-        CatalogNotice::StoreRegained => info!(log, "store regained"),
+        CatalogNotice::StoreRecovered => info!(log, "store regained"),
         CatalogNotice::Members(members) => info!(log, "balancers known"; "members" => members),
     }
 }
--- a/bins/balancer/src/opaque/process.rs
+++ b/bins/balancer/src/opaque/process.rs
@@ -155,7 +155,7 @@
     let socket = UdpSocket::bind(address).await.map_err(bind)?;
     let listener = TcpListener::bind(address).await.map_err(bind)?;
     let member = MemberSettings {
-        own: address,
+        gossip: address,
         seeds: settings.seeds.clone(),
     };
     let view = ViewSettings {
--- a/crates/catalog/src/answer.rs
+++ b/crates/catalog/src/answer.rs
@@ -1,4 +1,4 @@
-//! Calls to the store and what they bring.
+//! Calls to the store and their results.
 
 use std::time::Duration;
 
@@ -10,38 +10,38 @@
 /// A call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StoreCall {
-    /// Read everything.
+    /// Reads all entries.
     List,
-    /// Wait for changes after a revision.
+    /// Waits for changes after a revision (long poll).
     Watch {
-        /// The revision up to which everything is known.
+        /// The revision up to which the caller knows all changes.
         after: u64,
-        /// How long the store holds the call while nothing changes.
+        /// How long the store may hold the call open while nothing changes.
         wait: Duration,
     },
 }
 
-/// One change in the store, or one item of a list.
+/// A change in the store, or an item of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreEvent {
     /// The configuration was written.
     Config(PublishedConfig),
     /// A target was written.
     Target(PublishedTarget),
-    /// A target's entry is gone.
+    /// A target's entry was removed.
     TargetRemoved(TargetName),
-    /// The operator evacuates a zone: its targets get no new flows.
+    /// The operator evacuated a zone: its targets get no new flows.
     ZoneEvacuated(ZoneName),
-    /// The operator takes a zone back.
+    /// The operator ended the evacuation of a zone.
     ZoneRestored(ZoneName),
-    /// A value that could not be read. A target's entry names no target then; of the configuration
-    /// what is held stays.
+    /// A value that could not be decoded. An undecodable target entry provides no target; an
+    /// undecodable configuration leaves the current one in force.
     Unreadable {
-        /// The key.
+        /// The key in the store.
         key: String,
-        /// Why.
+        /// The decoding error.
         reason: String,
-        /// The target it stands for, when it is one's entry.
+        /// The target name, if the key is that of a target entry.
         target: Option<TargetName>,
     },
 }
@@ -49,19 +49,19 @@
 /// A successful answer of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreAnswer {
-    /// The items or changes, each with the revision of its last change, in the store's order.
+    /// The items or changes, each with the revision of its last change, in the order of the store.
     pub events: Vec<(u64, StoreEvent)>,
-    /// The revision after which a watch misses nothing that this answer does not hold.
+    /// The revision from which a watch continues without missing a change.
     pub revision: u64,
 }
 
-/// Why a call brought nothing.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StoreFailure {
-    /// The store no longer holds the history that a watch asked for.
+    /// The store no longer holds the history that the watch asked for.
     HistoryGone,
-    /// The store turned the call away.
+    /// The store rejected the call.
     Refused,
-    /// No answer, a broken one, or one that could not be understood.
+    /// No answer arrived, or it was incomplete or could not be decoded.
     Unanswered,
 }
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The newest routes and targets that this process knows.
+//! The newest routes, targets and evacuated zones that this process knows.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -11,56 +11,56 @@
 use crate::answer::{StoreAnswer, StoreEvent};
 use crate::message::{CatalogDelta, CatalogHead, ConfigDelta};
 use crate::record::{EvacuatedZone, PublishedConfig, PublishedRoute, TargetName, TargetRow};
-use crate::table::{TableNews, replace_rows};
+use crate::table::{TableUpdate, replace_rows};
 
-/// Why a change was not taken. What is held stays.
+/// Why a change was rejected. The current state stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CatalogError {
-    /// A table change did not fit.
+    /// A delta did not fit the table that it was applied to.
     #[error(transparent)]
     Table(#[from] TableError),
-    /// A value of the store could not be read.
-    #[error("store key {key} unreadable: {reason}")]
+    /// A value of the store could not be decoded.
+    #[error("cannot decode store key {key}: {reason}")]
     Unreadable {
-        /// The key.
+        /// The key in the store.
         key: String,
-        /// Why.
+        /// The decoding error.
         reason: String,
     },
 }
 
-/// Routes, targets and evacuated zones at one moment. Shared, never changed.
+/// A snapshot of routes, targets and evacuated zones. Shared and immutable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalog {
-    /// The operator's number for the configuration in force; 0 before any is known.
+    /// The operator's version number of the configuration in force; 0 before any is known.
     pub version: ConfigRevision,
-    /// How long a flow may be silent before it may be forgotten.
+    /// How long a flow may be idle before its state may be dropped.
     pub idle_timeout: Duration,
     /// Invariant: sorted by address.
     pub routes: Arc<Vec<PublishedRoute>>,
     /// Invariant: sorted by name.
     pub targets: Arc<Vec<TargetRow>>,
-    /// Services that the configuration names and sends no route's flows to.
+    /// Services that the configuration lists without sending flows of any route to them.
     pub unrouted: Arc<Vec<ServiceName>>,
-    /// The store's revision up to which the evacuated zones are known; 0 while nothing is known of them,
-    /// and then no flow may be placed.
+    /// The store revision up to which the evacuated zones are known; 0 while they are unknown, and
+    /// then no flow may be placed.
     pub zones_revision: u64,
     /// The zones whose targets get no new flows. Invariant: sorted by name.
     pub evacuated: Arc<Vec<EvacuatedZone>>,
 }
 
-/// What changed from one catalog to the next.
+/// The changes from one catalog to the next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatalogChanges {
-    /// These rows. A row may be named more than once, in the order of its changes.
+    /// The changed rows. A row may occur more than once, in the order of its changes.
     Rows {
-        /// Changes of targets.
+        /// Changed targets.
         targets: Vec<RowChange<TargetRow>>,
-        /// Changes of routes.
+        /// Changed routes.
         routes: Vec<RowChange<PublishedRoute>>,
     },
-    /// So much that going through all of it costs less.
-    Much,
+    /// So many rows that comparing the whole catalog costs less.
+    TooMany,
 }
 
 impl Default for CatalogChanges {
@@ -72,50 +72,50 @@
     }
 }
 
-/// From so many changed rows on, [`CatalogChanges`] names none: keeping a copy of each would take
-/// as much memory as the catalog itself when a process takes its first one.
-const MUCH: usize = 1_024;
+/// Above this number of changed rows, [`CatalogChanges`] lists none: a copy of each would take as
+/// much memory as the catalog itself when a process loads its first one.
+const MAX_CHANGED_ROWS: usize = 1_024;
 
 impl CatalogChanges {
     fn add_targets(&mut self, changes: Vec<RowChange<TargetRow>>) {
         if let Self::Rows { targets, .. } = self {
             targets.extend(changes);
         }
-        self.give_up_if_much();
+        self.collapse_if_too_many();
     }
 
     fn add_routes(&mut self, changes: Vec<RowChange<PublishedRoute>>) {
         if let Self::Rows { routes, .. } = self {
             routes.extend(changes);
         }
-        self.give_up_if_much();
+        self.collapse_if_too_many();
     }
 
-    fn give_up_if_much(&mut self) {
+    fn collapse_if_too_many(&mut self) {
         if let Self::Rows { targets, routes } = self
-            && targets.len() + routes.len() > MUCH
+            && targets.len() + routes.len() > MAX_CHANGED_ROWS
         {
-            *self = Self::Much;
+            *self = Self::TooMany;
         }
     }
 }
 
-/// Keeps the catalog and what changed when.
+/// Holds the catalog and the revision of each change.
 ///
-/// Invariant: no table's revision ever falls, so a process that was told of a configuration or an
-/// evacuated zone never goes back to what was before, whoever offers it.
+/// Invariant: the revision of a table never decreases, so a process that knows a configuration or
+/// an evacuated zone never returns to an earlier state, whichever peer offers it.
 #[derive(Clone, Debug, Default)]
-pub struct CatalogKeeper {
+pub struct CatalogTables {
     catalog: Catalog,
     routes: TableIndex<SocketAddrV4>,
     targets: TableIndex<TargetName>,
     zones: TableIndex<ZoneName>,
-    /// What changed since [`take_changes`](Self::take_changes) was last called.
+    /// Changes since the last call of [`take_changes`](Self::take_changes).
     changes: CatalogChanges,
 }
 
-impl CatalogKeeper {
-    /// Which state is held.
+impl CatalogTables {
+    /// Returns the head of the current state.
     #[must_use]
     pub fn head(&self) -> CatalogHead {
         CatalogHead {
@@ -125,18 +125,18 @@
         }
     }
 
-    /// The catalog in force.
+    /// Returns the catalog in force.
     #[must_use]
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// What changed in the catalog since the last call.
+    /// Returns the changes since the last call and clears them.
     pub fn take_changes(&mut self) -> CatalogChanges {
         std::mem::take(&mut self.changes)
     }
 
-    /// What changed after a head.
+    /// Returns the changes since a head.
     #[must_use]
     pub fn delta_since(&self, head: &CatalogHead) -> CatalogDelta {
         let held = self.head();
@@ -163,12 +163,13 @@
         }
     }
 
-    /// Takes what another balancer sent; returns whether anything changed.
+    /// Applies a delta from another balancer and returns whether anything changed.
     ///
     /// # Errors
     ///
-    /// A [`CatalogError`] for a table that did not fit; others may have been taken.
-    pub fn take_delta(&mut self, delta: CatalogDelta) -> Result<bool, CatalogError> {
+    /// Returns a [`CatalogError`] if a table's delta did not fit; other tables may have been
+    /// updated.
+    pub fn apply_delta(&mut self, delta: CatalogDelta) -> Result<bool, CatalogError> {
         let config = match delta.config {
             Some(config) => self.merge_config(config),
             None => Ok(false),
@@ -193,15 +194,15 @@
         }
         let rows = Arc::make_mut(&mut self.catalog.evacuated);
         let changes = self.zones.apply(rows, zones)?;
-        Ok(self.note_zones(&changes))
+        Ok(self.advance_zones(&changes))
     }
 
-    /// Notes that the evacuated zones are known up to a later revision; returns whether that changes
-    /// anything. The first such word does, also where no zone is evacuated.
-    fn note_zones(&mut self, changes: &[RowChange<EvacuatedZone>]) -> bool {
-        let first = self.catalog.zones_revision == 0;
+    /// Updates the revision up to which the evacuated zones are known and returns whether that
+    /// changes the catalog. The first update always does, even if no zone is evacuated.
+    fn advance_zones(&mut self, changes: &[RowChange<EvacuatedZone>]) -> bool {
+        let is_first = self.catalog.zones_revision == 0;
         self.catalog.zones_revision = self.zones.head().revision;
-        first || !changes.is_empty()
+        is_first || !changes.is_empty()
     }
 
     fn merge_targets(
@@ -230,12 +231,12 @@
         Ok(true)
     }
 
-    /// Takes a whole list of the store; a target that it does not hold is gone.
+    /// Applies a full list of the store; targets that it does not contain are removed.
     ///
     /// # Errors
     ///
-    /// The values that could not be read; everything else was taken.
-    pub fn take_list(&mut self, answer: StoreAnswer) -> (bool, Vec<CatalogError>) {
+    /// Returns the values that could not be decoded; everything else was applied.
+    pub fn apply_list(&mut self, answer: StoreAnswer) -> (bool, Vec<CatalogError>) {
         let mut errors = Vec::new();
         let mut changed = false;
         let mut targets = Vec::new();
@@ -243,7 +244,7 @@
         for (revision, event) in answer.events {
             match event {
                 StoreEvent::Config(config) => {
-                    changed |= self.take_config(revision, config, &mut errors);
+                    changed |= self.apply_config(revision, config, &mut errors);
                 }
                 StoreEvent::Target(target) => targets.push(TargetRow::Published(target)),
                 StoreEvent::ZoneEvacuated(zone) => evacuated.push(EvacuatedZone(zone)),
@@ -264,26 +265,26 @@
         if answer.revision > self.zones.head().revision {
             let rows = &mut self.catalog.evacuated;
             match replace_rows(&mut self.zones, rows, evacuated, answer.revision) {
-                Ok(changes) => changed |= self.note_zones(&changes),
+                Ok(changes) => changed |= self.advance_zones(&changes),
                 Err(error) => errors.push(error.into()),
             }
         }
         (changed, errors)
     }
 
-    /// Takes the changes that a watch brought.
+    /// Applies the changes that a watch returned.
     ///
     /// # Errors
     ///
-    /// The values that could not be read; everything else was taken.
-    pub fn take_events(&mut self, answer: StoreAnswer) -> (bool, Vec<CatalogError>) {
+    /// Returns the values that could not be decoded; everything else was applied.
+    pub fn apply_events(&mut self, answer: StoreAnswer) -> (bool, Vec<CatalogError>) {
         let mut errors = Vec::new();
         let mut changed = false;
-        let mut news = CatalogNews::default();
+        let mut update = CatalogUpdate::default();
         for (revision, event) in answer.events {
             match event {
                 StoreEvent::Config(config) => {
-                    changed |= self.take_config(revision, config, &mut errors);
+                    changed |= self.apply_config(revision, config, &mut errors);
                 }
                 StoreEvent::Unreadable {
                     key,
@@ -292,30 +293,30 @@
                 } => {
                     if let Some(name) = target {
                         let row = TargetRow::Unreadable(name);
-                        self.note_target(row, revision, &mut news.targets);
+                        self.queue_target(row, revision, &mut update.targets);
                     }
                     errors.push(CatalogError::Unreadable { key, reason });
                 }
                 StoreEvent::Target(target) => {
                     let row = TargetRow::Published(target);
-                    self.note_target(row, revision, &mut news.targets);
+                    self.queue_target(row, revision, &mut update.targets);
                 }
-                // A peer may have told of a change before the watch did.
+                // A peer may have reported the change before the watch did.
                 StoreEvent::TargetRemoved(name) if revision > self.targets.head().revision => {
-                    news.targets.removed(name, revision);
+                    update.targets.remove(name, revision);
                 }
                 StoreEvent::ZoneEvacuated(zone) if revision > self.zones.head().revision => {
-                    news.zones.written(EvacuatedZone(zone), revision);
+                    update.zones.write(EvacuatedZone(zone), revision);
                 }
                 StoreEvent::ZoneRestored(zone) if revision > self.zones.head().revision => {
-                    news.zones.removed(zone, revision);
+                    update.zones.remove(zone, revision);
                 }
                 StoreEvent::TargetRemoved(_)
                 | StoreEvent::ZoneEvacuated(_)
                 | StoreEvent::ZoneRestored(_) => {}
             }
         }
-        match news
+        match update
             .targets
             .apply(&mut self.targets, &mut self.catalog.targets)
         {
@@ -326,21 +327,21 @@
             Some(Err(error)) => errors.push(error.into()),
             None => {}
         }
-        match news
+        match update
             .zones
             .apply(&mut self.zones, &mut self.catalog.evacuated)
         {
-            Some(Ok(changes)) => changed |= self.note_zones(&changes),
+            Some(Ok(changes)) => changed |= self.advance_zones(&changes),
             Some(Err(error)) => errors.push(error.into()),
             None => {}
         }
         (changed, errors)
     }
 
-    /// Adds a target's entry to what a watch brought, unless a peer told of it before the watch did.
-    fn note_target(&self, row: TargetRow, revision: u64, news: &mut TableNews<TargetRow>) {
+    /// Adds a target entry to the changes of a watch, unless a peer has already reported it.
+    fn queue_target(&self, row: TargetRow, revision: u64, update: &mut TableUpdate<TargetRow>) {
         if revision > self.targets.head().revision {
-            news.written(row, revision);
+            update.write(row, revision);
         }
     }
 
@@ -364,7 +365,7 @@
         }
     }
 
-    fn take_config(
+    fn apply_config(
         &mut self,
         revision: u64,
         config: PublishedConfig,
@@ -392,9 +393,9 @@
     }
 }
 
-/// What a watch brought about the tables that it tells row by row.
+/// Changes that a watch returned for the tables that the store reports row by row.
 #[derive(Default)]
-struct CatalogNews {
-    targets: TableNews<TargetRow>,
-    zones: TableNews<EvacuatedZone>,
+struct CatalogUpdate {
+    targets: TableUpdate<TargetRow>,
+    zones: TableUpdate<EvacuatedZone>,
 }
--- a/crates/catalog/src/member.rs
+++ b/crates/catalog/src/member.rs
@@ -10,154 +10,155 @@
 use smallvec::SmallVec;
 
 use crate::answer::{StoreAnswer, StoreCall, StoreFailure};
-use crate::catalog::{Catalog, CatalogChanges, CatalogError, CatalogKeeper};
-use crate::message::{CatalogDelta, CatalogHead, CatalogMessage, HeadMessage, ReaderNews};
-use crate::peers::{LARGE_FANOUT, PeerTable, SMALL_FANOUT};
-use crate::reading::{ReadingInputs, ReadingState};
-use crate::stops::{AgentStop, StopList, StopNews, StopTable};
-
-/// How often [`CatalogMember::advance`] is to be called, besides the moments that
-/// [`CatalogMember::next_due`] names.
+use crate::catalog::{Catalog, CatalogChanges, CatalogError, CatalogTables};
+use crate::message::{CatalogDelta, CatalogHead, CatalogMessage, HeadMessage, ReaderStatus};
+use crate::peers::{LARGE_FLEET_FANOUT, PeerTable, SMALL_FLEET_FANOUT};
+use crate::reader::{ReaderInputs, ReaderState};
+use crate::stops::{AgentStop, StopList, StopTable, StopUpdate};
+
+/// How often [`CatalogMember::advance`] must be called, in addition to the moments that
+/// [`CatalogMember::next_due`] returns.
 pub const MEMBER_TICK: Duration = Duration::from_millis(250);
 
-/// Time between two regular heads.
+/// Interval between regular heads.
 const HEAD_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same while a fresh process knows of nobody. Where all start at once, those whom the settings
-/// name may start last; the others find each other only through them, and until then they cannot
-/// know of trouble that the store had. It ends with [`INFORM_SPAN`], so at twenty small datagrams
-/// to each of three.
-const GREETING_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between heads of a new process that has heard no peer yet. When all balancers start at
+/// once, the configured seeds may start last; the others find each other only through them, and
+/// until then they cannot know of earlier failures of the store. Ends with [`DISCOVERY_TIMEOUT`],
+/// so at most twenty small datagrams go to each of three seeds.
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long an unanswered ask blocks the next one.
 const ASK_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a fresh process waits for other balancers before it calls the store: most starts
-/// are of single processes, whom the others can tell everything for free. An ask and its answer
-/// take two to four milliseconds. It is time that nobody is served in after a loss of power: each
-/// tenth of a second there is a request in five hundred of a minute's.
-const FIRST_CALL_WAIT: Duration = Duration::from_millis(8);
+/// How long a new process waits for other balancers before it calls the store: usually a single
+/// process starts, and the others can send it everything without a call. An ask and its answer take
+/// 2 to 4 ms. After a power loss, nothing is served during this wait: a tenth of a second costs one
+/// request in five hundred of that minute.
+const FIRST_CALL_DELAY: Duration = Duration::from_millis(8);
 
-/// Spread of the first calls of processes that start together.
-const FIRST_CALL_SPREAD: Duration = Duration::from_millis(12);
+/// Jitter of the first calls of processes that start together.
+const FIRST_CALL_JITTER: Duration = Duration::from_millis(12);
 
-/// How long a fresh process waits for a word of another balancer before it takes itself to be the
-/// only one. Until then it cannot know of trouble that the store had before its start.
-const INFORM_SPAN: Duration = Duration::from_secs(1);
+/// How long a new process waits to hear another balancer before it considers itself the only one.
+/// Until then it cannot know of failures of the store before its start.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long ago the store last confirmed what a balancer holds that hears no other one, when it takes itself for cut
-/// off. Longer than a watch's wait and the time in which one fails.
+/// Age of the last confirmation above which a balancer that hears no other one considers itself cut
+/// off. Longer than the wait of a watch and the time until one fails.
 const CUT_OFF_AGE: Duration = Duration::from_secs(3);
 
-/// A catalog this fresh is good enough to begin to serve with.
-const READY_AGE: Duration = Duration::from_secs(5);
+/// The oldest catalog that a process may become ready with.
+const MAX_READY_AGE: Duration = Duration::from_secs(5);
 
-/// What a member is told at its start.
+/// Settings of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberSettings {
-    /// Where this balancer listens for the others.
-    pub own: SocketAddrV4,
-    /// Where some others may listen.
+    /// Address of its gossip socket, where it receives messages of other balancers.
+    pub gossip: SocketAddrV4,
+    /// Configured gossip addresses of some other balancers.
     pub seeds: SmallVec<[SocketAddrV4; 3]>,
 }
 
-/// Something worth a log line.
+/// An event to log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatalogNotice {
-    /// Another state is in force.
-    Taken {
-        /// What is held now.
+    /// A new catalog is in force.
+    Applied {
+        /// Head of the new state.
         head: CatalogHead,
-        /// The operator's number for the configuration.
+        /// The operator's version number of the configuration.
         version: ConfigRevision,
-        /// The balancer that told it; `None` for the store itself.
+        /// The balancer that sent it; `None` if it was read from the store.
         from: Option<SocketAddrV4>,
     },
-    /// A change or value was not taken.
+    /// A change or value was rejected.
     Refused(CatalogError),
-    /// Another balancer holds another content of the same revision.
+    /// Another balancer has different content for the same revision.
     Conflict(SocketAddrV4),
-    /// The store did not answer a call as it should.
-    StoreLost(StoreFailure),
+    /// A call to the store failed.
+    StoreFailed(StoreFailure),
     /// The store answers again.
-    StoreRegained,
+    StoreRecovered,
     /// The number of living balancers changed, this one included.
     Members(usize),
 }
 
-/// What a member wants done.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatalogAction {
-    /// Send a datagram.
+    /// Send a message as a datagram.
     Send {
-        /// To whom.
+        /// Gossip address of the receiver.
         to: SocketAddrV4,
-        /// What.
+        /// The message to send.
         message: CatalogMessage,
     },
-    /// Ask by stream and hand the answer to [`CatalogMember::accept`].
+    /// Send an ask over a stream and pass the answer to [`CatalogMember::accept`].
     AskByStream {
-        /// Whom.
+        /// Gossip address of the balancer to ask.
         to: SocketAddrV4,
-        /// The message to send first.
+        /// The ask, which is the first message on the stream.
         ask: CatalogMessage,
     },
-    /// Call the store and hand the answer to [`CatalogMember::store_answered`].
+    /// Call the store and pass the result to [`CatalogMember::store_answered`].
     Call(StoreCall),
-    /// Another catalog is in force.
+    /// Publish a new catalog.
     Publish {
-        /// The catalog. To be let go when it has been gone through: a change of a catalog that is
-        /// held elsewhere copies it.
+        /// The catalog. Drop it after processing: a change clones tables that are referenced
+        /// elsewhere.
         catalog: Catalog,
-        /// What changed since the last one that was published.
+        /// Changes since the last published catalog.
         changes: CatalogChanges,
     },
-    /// Other balancers have heard agents say that they stop.
-    TakeStops(StopList),
-    /// Write a log line.
+    /// Record stop announcements of agents that other balancers relayed.
+    RecordStops(StopList),
+    /// Log an event.
     Notice(CatalogNotice),
 }
 
-/// What a member holds, for operators.
+/// State of a member, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CatalogStatus {
-    /// Which state.
+    /// Head of the catalog in force.
     pub head: CatalogHead,
-    /// The operator's number for the configuration.
+    /// The operator's version number of the configuration.
     pub version: ConfigRevision,
-    /// How long ago the store confirmed it; `None` when never.
+    /// Time since the store last confirmed the catalog; `None` if never.
     pub age: Option<Duration>,
-    /// Living balancers, this one included.
+    /// Number of living balancers, this one included.
     pub members: usize,
-    /// Whether this balancer reads the store for the others.
+    /// Whether this balancer is an elected reader of the store.
     pub reader: bool,
 }
 
-/// See the module.
+/// Keeps the catalog of a balancer up to date by calls to the store and messages to its peers.
 #[derive(Clone, Debug)]
 pub struct CatalogMember {
     settings: MemberSettings,
     started: Moment,
-    keeper: CatalogKeeper,
+    tables: CatalogTables,
     peers: PeerTable,
-    reading: ReadingState,
+    reader: ReaderState,
     random: SmallRng,
-    /// When the store last confirmed what is held, to this process or to another.
-    confirmed: Option<Moment>,
+    /// When the store last confirmed the catalog, to this process or another.
+    confirmed_at: Option<Moment>,
     /// When the store last failed this process or another.
-    trouble: Option<Moment>,
-    /// When it first answered anybody after that; older than `trouble` while it has not.
-    returned: Option<Moment>,
-    /// When the evacuated zones were last read anew, by this process or another.
-    zones_since: Moment,
+    last_failure: Option<Moment>,
+    /// First answer of the store to any process after `last_failure`; older than it while there is
+    /// none.
+    recovered_at: Option<Moment>,
+    /// When the current evacuated zones were read from the store, by this process or another.
+    zones_read_at: Moment,
     stops: StopTable,
-    /// When the call that is under way, or the last one, was made.
-    called: Moment,
-    next_head: Moment,
-    asked: Option<Moment>,
-    /// Ask for the whole of it next: a change did not fit.
-    ask_whole: bool,
-    store_lost: bool,
+    /// When the call in flight, or the last one, was made.
+    called_at: Moment,
+    next_head_at: Moment,
+    asked_at: Option<Moment>,
+    /// Whether the next ask requests the full tables because a delta did not fit.
+    ask_full: bool,
+    store_failing: bool,
     leaving: bool,
     ready: bool,
     members: usize,
@@ -165,28 +166,28 @@
 }
 
 impl CatalogMember {
-    /// A member that knows nothing yet. `seed` seeds its random choices.
+    /// Creates a member without a catalog. `seed` seeds its random choices.
     #[must_use]
     pub fn new(settings: MemberSettings, seed: u64, now: Moment) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let spread = random.random_range(Duration::ZERO..FIRST_CALL_SPREAD);
+        let jitter = random.random_range(Duration::ZERO..FIRST_CALL_JITTER);
         Self {
-            peers: PeerTable::new(settings.own, &settings.seeds),
-            reading: ReadingState::new(now + FIRST_CALL_WAIT + spread),
+            peers: PeerTable::new(settings.gossip, &settings.seeds),
+            reader: ReaderState::new(now + FIRST_CALL_DELAY + jitter),
             settings,
             started: now,
-            keeper: CatalogKeeper::default(),
+            tables: CatalogTables::default(),
             random,
-            confirmed: None,
-            trouble: None,
-            returned: None,
-            zones_since: now,
+            confirmed_at: None,
+            last_failure: None,
+            recovered_at: None,
+            zones_read_at: now,
             stops: StopTable::new(now),
-            called: now,
-            next_head: now,
-            asked: None,
-            ask_whole: false,
-            store_lost: false,
+            called_at: now,
+            next_head_at: now,
+            asked_at: None,
+            ask_full: false,
+            store_failing: false,
             leaving: false,
             ready: false,
             members: 1,
@@ -194,110 +195,111 @@
         }
     }
 
-    /// What is held now.
+    /// Returns the current state for operators.
     #[must_use]
     pub fn status(&self, now: Moment) -> CatalogStatus {
         CatalogStatus {
-            head: self.keeper.head(),
-            version: self.keeper.catalog().version,
+            head: self.tables.head(),
+            version: self.tables.catalog().version,
             age: self.age(now),
             members: self.members,
-            reader: self.draw_place(now).is_some(),
+            reader: self.reader_rank(now).is_some(),
         }
     }
 
-    /// Whether enough is known to serve. Once true it stays so: without the store, what is held
-    /// is still the best there is.
+    /// Whether the catalog suffices to serve. Never becomes false again: without the store, the
+    /// catalog held is still the best one available.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Whether this process can know of trouble that the store had before its start: another
-    /// balancer has spoken, or none seems to be there.
+    /// Whether this process can know of failures of the store before its start: it has heard
+    /// another balancer, or there seems to be none.
     #[must_use]
     pub fn is_informed(&self, now: Moment) -> bool {
-        self.peers.alive_count(now) > 0 || now.since(self.started) >= INFORM_SPAN
+        self.peers.alive_count(now) > 0 || now.since(self.started) >= DISCOVERY_TIMEOUT
     }
 
-    /// Whether neither the store nor another balancer has spoken to this process for so long that it may have missed
-    /// a change of the evacuated zones. One that knows of no other balancer is not cut off from any.
+    /// Whether this process has heard neither the store nor another balancer for so long that it
+    /// may have missed a change of the evacuated zones. A balancer that knows no other one is not
+    /// cut off.
     #[must_use]
     pub fn is_cut_off(&self, now: Moment) -> bool {
-        let unconfirmed = self.age(now).is_some_and(|age| age >= CUT_OFF_AGE);
-        unconfirmed && self.peers.knows_others() && self.peers.alive_count(now) == 0
+        let is_stale = self.age(now).is_some_and(|age| age >= CUT_OFF_AGE);
+        is_stale && self.peers.knows_others() && self.peers.alive_count(now) == 0
     }
 
-    /// When the store last failed this process or another: entries that vanish around that time
-    /// prove nothing.
+    /// Returns when the store last failed this process or another. Entries that vanish around that
+    /// time prove nothing.
     #[must_use]
-    pub fn trouble(&self) -> Option<Moment> {
-        self.trouble
+    pub fn last_store_failure(&self) -> Option<Moment> {
+        self.last_failure
     }
 
-    /// When the store first answered this process or another after its last trouble; `None` while it
-    /// has not.
+    /// Returns the first answer of the store to this process or another after its last failure;
+    /// `None` while there is none.
     #[must_use]
-    pub fn returned(&self) -> Option<Moment> {
-        self.returned
-            .filter(|at| self.trouble.is_some_and(|trouble| *at >= trouble))
+    pub fn store_recovered_at(&self) -> Option<Moment> {
+        self.recovered_at
+            .filter(|at| self.last_failure.is_some_and(|failure| *at >= failure))
     }
 
-    /// Since when this process would know of an agent that said that it stops: its own start, or that of another
-    /// balancer which told it.
+    /// Returns the time since which this process would know of any stopping agent: its own start,
+    /// or that of another balancer that sent it a [`StopUpdate`].
     #[must_use]
-    pub fn stops_since(&self) -> Moment {
+    pub fn stops_known_since(&self) -> Moment {
         self.stops.since()
     }
 
-    /// When the evacuated zones that are held were read from the store, by this process or by the one that
-    /// told of them first.
+    /// Returns when the current evacuated zones were read from the store, by this process or by the
+    /// one that first announced them.
     #[must_use]
-    pub fn zones_since(&self) -> Moment {
-        self.zones_since
+    pub fn zones_read_at(&self) -> Moment {
+        self.zones_read_at
     }
 
-    /// Replaces the addresses at which other balancers may be found.
+    /// Replaces the seeds, the gossip addresses of some other balancers.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.peers.set_seeds(seeds);
     }
 
-    /// Tells the others that this balancer is stopping.
+    /// Announces to the other balancers that this one is stopping.
     pub fn set_leaving(&mut self, now: Moment) -> Vec<CatalogAction> {
         self.leaving = true;
         self.send_heads(now);
         self.take_actions()
     }
 
-    /// When [`advance`](Self::advance) has something to do that is not to wait for the next tick: a
-    /// call to the store, or a greeting while nobody is known. What goes wrong without it: a fleet that
-    /// lost power waited a quarter of a second with its processes running and the store answering.
+    /// Returns when [`advance`](Self::advance) is due before the next tick: for a call to the
+    /// store, or for a head while no peer is known. Waiting for the tick instead cost a quarter of
+    /// a second after a power loss, while all processes ran and the store answered.
     #[must_use]
     pub fn next_due(&self, now: Moment) -> Option<Moment> {
-        let greeting = (!self.is_informed(now)).then_some(self.next_head);
-        let greeting = greeting.filter(|due| now < *due);
-        self.reading.next_due(now).into_iter().chain(greeting).min()
+        let discovery = (!self.is_informed(now)).then_some(self.next_head_at);
+        let discovery = discovery.filter(|due| now < *due);
+        self.reader.next_due(now).into_iter().chain(discovery).min()
     }
 
-    /// Lets time pass.
+    /// Performs the work that is due at `now`.
     pub fn advance(&mut self, now: Moment) -> Vec<CatalogAction> {
-        self.peers.forget_silent(now);
-        if now >= self.next_head {
+        self.peers.remove_silent(now);
+        if now >= self.next_head_at {
             self.send_heads(now);
         }
-        self.pass_stops_on(now);
-        self.note_members(now);
+        self.relay_stops(now);
+        self.update_members(now);
         self.call_store(now);
         self.take_actions()
     }
 
-    /// Takes the agents that have told this balancer that they stop; the next
-    /// [`advance`](Self::advance) passes them on.
-    pub fn note_stops(&mut self, stops: &[AgentStop], now: Moment) {
-        let _new = self.stops.take(stops, now);
+    /// Records stop announcements that agents sent to this balancer; the next
+    /// [`advance`](Self::advance) relays them.
+    pub fn record_stops(&mut self, stops: &[AgentStop], now: Moment) {
+        let _new = self.stops.record(stops, now);
     }
 
-    /// Takes a message of another balancer.
+    /// Handles a message of another balancer.
     pub fn accept(&mut self, message: CatalogMessage, now: Moment) -> Vec<CatalogAction> {
         match message {
             CatalogMessage::Head(head) => self.accept_head(&head, now),
@@ -311,47 +313,47 @@
                 zones_age,
                 delta,
             } => {
-                let zones_since = now - zones_age;
-                self.accept_answer(sender, age, zones_since, *delta, now);
+                let zones_read_at = now - zones_age;
+                self.accept_answer(sender, age, zones_read_at, *delta, now);
             }
             CatalogMessage::TooLarge { sender } => {
                 let ask = self.ask_message();
                 let action = CatalogAction::AskByStream { to: sender, ask };
                 self.actions.push(action);
             }
-            CatalogMessage::Stops(news) => self.accept_stops(&news, now),
+            CatalogMessage::Stops(update) => self.accept_stops(&update, now),
         }
         self.take_actions()
     }
 
-    fn accept_stops(&mut self, news: &StopNews, now: Moment) {
-        let new = self.stops.take_news(news, now);
+    fn accept_stops(&mut self, update: &StopUpdate, now: Moment) {
+        let new = self.stops.merge_update(update, now);
         if !new.is_empty() {
-            self.actions.push(CatalogAction::TakeStops(new));
+            self.actions.push(CatalogAction::RecordStops(new));
         }
     }
 
-    fn pass_stops_on(&mut self, now: Moment) {
-        let Some(news) = self.stops.next_round(now) else {
+    fn relay_stops(&mut self, now: Moment) {
+        let Some(update) = self.stops.next_round(now) else {
             return;
         };
         for to in self.peers.choose(self.fanout(now), &mut self.random) {
-            self.send(to, CatalogMessage::Stops(news.clone()));
+            self.send(to, CatalogMessage::Stops(update.clone()));
         }
     }
 
-    /// The answer to a balancer that holds `head`.
+    /// Returns the answer to an ask of a balancer that holds `head`.
     #[must_use]
     pub fn answer_to(&self, head: &CatalogHead, now: Moment) -> CatalogMessage {
         CatalogMessage::Answer {
-            sender: self.settings.own,
+            sender: self.settings.gossip,
             age: self.age(now).unwrap_or(Duration::MAX),
-            zones_age: now.since(self.zones_since),
-            delta: Box::new(self.keeper.delta_since(head)),
+            zones_age: now.since(self.zones_read_at),
+            delta: Box::new(self.tables.delta_since(head)),
         }
     }
 
-    /// Takes the outcome of a call that [`CatalogAction::Call`] asked for.
+    /// Handles the result of a call that [`CatalogAction::Call`] requested.
     pub fn store_answered(
         &mut self,
         call: StoreCall,
@@ -359,71 +361,73 @@
         now: Moment,
     ) -> Vec<CatalogAction> {
         match outcome {
-            Ok(answer) => self.accept_store(call, answer, now),
+            Ok(answer) => self.accept_store_answer(call, answer, now),
             Err(failure) => self.store_failed(call, failure, now),
         }
         self.call_store(now);
         self.take_actions()
     }
 
-    fn accept_store(&mut self, call: StoreCall, answer: StoreAnswer, now: Moment) {
-        let brings = !answer.events.is_empty();
-        self.note_confirmed(now);
-        let returned = self.returned();
-        self.reading
-            .succeeded(answer.revision, brings, returned, now);
-        if std::mem::take(&mut self.store_lost) {
-            self.notice(CatalogNotice::StoreRegained);
+    fn accept_store_answer(&mut self, call: StoreCall, answer: StoreAnswer, now: Moment) {
+        let has_changes = !answer.events.is_empty();
+        self.record_confirmation(now);
+        let recovered_at = self.store_recovered_at();
+        self.reader
+            .succeeded(answer.revision, has_changes, recovered_at, now);
+        if std::mem::take(&mut self.store_failing) {
+            self.notice(CatalogNotice::StoreRecovered);
         }
-        let zones_before = self.keeper.head().zones;
+        let zones_before = self.tables.head().zones;
         let (changed, errors) = match call {
-            StoreCall::List => self.keeper.take_list(answer),
-            StoreCall::Watch { .. } => self.keeper.take_events(answer),
+            StoreCall::List => self.tables.apply_list(answer),
+            StoreCall::Watch { .. } => self.tables.apply_events(answer),
         };
         if errors
             .iter()
             .any(|error| matches!(error, CatalogError::Table(_)))
         {
-            self.reading.list_again();
+            self.reader.list_again();
         }
         for error in errors {
             self.notice(CatalogNotice::Refused(error));
         }
-        self.note_zones(zones_before, now);
-        self.become_ready(now);
+        self.record_zones_read(zones_before, now);
+        self.update_readiness(now);
         if changed {
             self.publish(None, now);
         }
     }
 
     fn store_failed(&mut self, call: StoreCall, failure: StoreFailure, now: Moment) {
-        let read_before = self.reading.reads();
-        let inputs = self.reading_inputs(now);
-        self.reading.failed(failure, &inputs, now);
+        let was_reachable = self.reader.store_reachable();
+        let inputs = self.reader_inputs(now);
+        self.reader.failed(failure, &inputs, now);
         if failure == StoreFailure::HistoryGone {
             return;
         }
-        self.trouble = self.trouble.max(Some(self.trouble_time(call, now)));
-        if !std::mem::replace(&mut self.store_lost, true) {
-            self.notice(CatalogNotice::StoreLost(failure));
+        self.last_failure = self.last_failure.max(Some(self.failure_time(call, now)));
+        if !std::mem::replace(&mut self.store_failing, true) {
+            self.notice(CatalogNotice::StoreFailed(failure));
         }
-        // The next in the draw takes over as soon as it hears of this.
-        if read_before {
+        // The balancer next in rank takes over as soon as it receives this.
+        if was_reachable {
             self.send_heads(now);
         }
     }
 
-    /// When the store had the trouble that a failed call shows. A watch whose connection went silent shows it only when
-    /// it is overdue; the store may have answered others since, who would see trouble that came later.
-    fn trouble_time(&self, call: StoreCall, now: Moment) -> Moment {
+    /// Returns the time of the store failure that a failed call shows. A watch on a connection that
+    /// went silent fails only when it is overdue. If the store has answered others since the call
+    /// was made, the failure is dated back to the call; dated now, it would look to them like a
+    /// failure after the recovery.
+    fn failure_time(&self, call: StoreCall, now: Moment) -> Moment {
         let wait = match call {
             StoreCall::List => Duration::ZERO,
             StoreCall::Watch { wait, .. } => wait,
         };
-        let overdue = now.since(self.called) >= wait;
-        let answered_since = self.confirmed.is_some_and(|at| at > self.called);
+        let overdue = now.since(self.called_at) >= wait;
+        let answered_since = self.confirmed_at.is_some_and(|at| at > self.called_at);
         if overdue && answered_since {
-            self.called
+            self.called_at
         } else {
             now
         }
@@ -432,31 +436,31 @@
     fn accept_head(&mut self, message: &HeadMessage, now: Moment) {
         let random = &mut self.random;
         self.peers
-            .hear(message.sender, message.reads, message.leaving, random, now);
-        // One that starts knows nobody, and until it is told anything it cannot know of trouble
-        // that the store had: it takes no flow for lost.
+            .record_head(message.sender, message.reads, message.leaving, random, now);
+        // A new process knows no peers, and until it hears one it cannot know of earlier failures
+        // of the store, so it treats no flow as lost.
         if message.peers.is_empty() && !message.leaving {
             let reply = CatalogMessage::Head(self.head_message(now));
             self.send(message.sender, reply);
-            if let Some(news) = self.stops.latest(now) {
-                self.send(message.sender, CatalogMessage::Stops(news));
+            if let Some(update) = self.stops.recent(now) {
+                self.send(message.sender, CatalogMessage::Stops(update));
             }
         }
         for &peer in &message.peers {
-            self.peers.name(peer, now);
+            self.peers.record_mention(peer, now);
         }
-        for news in &message.readers {
-            self.peers.pass_on(news, &mut self.random, now);
+        for status in &message.readers {
+            self.peers.record_status(status, &mut self.random, now);
         }
-        self.trouble = self.trouble.max(message.trouble.map(|age| now - age));
-        let (held, offered) = (self.keeper.head(), message.head);
+        self.last_failure = self.last_failure.max(message.trouble.map(|age| now - age));
+        let (held, offered) = (self.tables.head(), message.head);
         if offered == held {
             self.confirm(message.age, now);
             return;
         }
         if self.is_conflict(&offered) {
             self.notice(CatalogNotice::Conflict(message.sender));
-            self.reading.list_again();
+            self.reader.list_again();
         }
         let newer = offered.routes.revision > held.routes.revision
             || offered.targets.revision > held.targets.revision
@@ -465,13 +469,13 @@
             self.ask(message.sender, now);
             return;
         }
-        // It lags: it asks when it sees this.
+        // The sender lags; it will ask when it receives this head.
         let reply = CatalogMessage::Head(self.head_message(now));
         self.send(message.sender, reply);
     }
 
     fn is_conflict(&self, offered: &CatalogHead) -> bool {
-        let held = self.keeper.head();
+        let held = self.tables.head();
         let differs = |a: TableHead, b: TableHead| a.revision == b.revision && a.digest != b.digest;
         differs(held.routes, offered.routes)
             || differs(held.targets, offered.targets)
@@ -480,24 +484,24 @@
 
     fn ask(&mut self, peer: SocketAddrV4, now: Moment) {
         if self
-            .asked
-            .is_some_and(|asked| now.since(asked) < ASK_TIMEOUT)
+            .asked_at
+            .is_some_and(|asked_at| now.since(asked_at) < ASK_TIMEOUT)
         {
             return;
         }
-        self.asked = Some(now);
+        self.asked_at = Some(now);
         let message = self.ask_message();
         self.send(peer, message);
     }
 
     fn ask_message(&mut self) -> CatalogMessage {
-        let whole = std::mem::take(&mut self.ask_whole);
+        let full = std::mem::take(&mut self.ask_full);
         CatalogMessage::Ask {
-            sender: self.settings.own,
-            head: if whole {
+            sender: self.settings.gossip,
+            head: if full {
                 CatalogHead::default()
             } else {
-                self.keeper.head()
+                self.tables.head()
             },
         }
     }
@@ -506,15 +510,15 @@
         &mut self,
         sender: SocketAddrV4,
         age: Duration,
-        zones_since: Moment,
+        zones_read_at: Moment,
         delta: CatalogDelta,
         now: Moment,
     ) {
-        self.asked = None;
-        let zones_before = self.keeper.head().zones;
-        let taken = self.keeper.take_delta(delta);
-        self.note_zones(zones_before, zones_since);
-        match taken {
+        self.asked_at = None;
+        let zones_before = self.tables.head().zones;
+        let applied = self.tables.apply_delta(delta);
+        self.record_zones_read(zones_before, zones_read_at);
+        match applied {
             Ok(changed) => {
                 self.confirm(age, now);
                 if changed {
@@ -522,74 +526,76 @@
                 }
             }
             Err(error) => {
-                self.ask_whole = true;
+                self.ask_full = true;
                 self.notice(CatalogNotice::Refused(error));
             }
         }
     }
 
-    /// Notes when the evacuated zones were read, if they are others than before.
-    fn note_zones(&mut self, before: TableHead, since: Moment) {
-        if self.keeper.head().zones != before {
-            self.zones_since = since;
+    /// Records when the evacuated zones were read, if they changed.
+    fn record_zones_read(&mut self, before: TableHead, read_at: Moment) {
+        if self.tables.head().zones != before {
+            self.zones_read_at = read_at;
         }
     }
 
-    /// Another balancer that holds the same says how long ago the store confirmed it.
+    /// Records the last confirmation by the store that a balancer with the same state reports.
     fn confirm(&mut self, age: Duration, now: Moment) {
-        if age > READY_AGE {
+        if age > MAX_READY_AGE {
             return;
         }
-        self.note_confirmed(now - age);
-        self.become_ready(now);
+        self.record_confirmation(now - age);
+        self.update_readiness(now);
     }
 
-    fn note_confirmed(&mut self, at: Moment) {
-        self.confirmed = Some(self.confirmed.map_or(at, |held| held.max(at)));
-        if self.returned().is_none() && self.trouble.is_some_and(|trouble| at >= trouble) {
-            self.returned = Some(at);
+    fn record_confirmation(&mut self, at: Moment) {
+        self.confirmed_at = Some(self.confirmed_at.map_or(at, |held| held.max(at)));
+        if self.store_recovered_at().is_none()
+            && self.last_failure.is_some_and(|failure| at >= failure)
+        {
+            self.recovered_at = Some(at);
         }
     }
 
-    fn become_ready(&mut self, now: Moment) {
-        // Not before it is known which zones are evacuated: a flow placed in one is against the
-        // operator's word.
-        let head = self.keeper.head();
+    fn update_readiness(&mut self, now: Moment) {
+        // Wait until the evacuated zones are known: a flow placed in one violates the operator's
+        // decision.
+        let head = self.tables.head();
         let known = head.routes.revision > 0 && head.zones.revision > 0;
-        let fresh = self.age(now).is_some_and(|age| age <= READY_AGE);
+        let fresh = self.age(now).is_some_and(|age| age <= MAX_READY_AGE);
         self.ready |= known && fresh;
     }
 
     fn age(&self, now: Moment) -> Option<Duration> {
-        self.confirmed.map(|confirmed| now.since(confirmed))
+        self.confirmed_at.map(|at| now.since(at))
     }
 
     fn publish(&mut self, from: Option<SocketAddrV4>, now: Moment) {
-        let catalog = self.keeper.catalog().clone();
-        self.notice(CatalogNotice::Taken {
-            head: self.keeper.head(),
+        let catalog = self.tables.catalog().clone();
+        self.notice(CatalogNotice::Applied {
+            head: self.tables.head(),
             version: catalog.version,
             from,
         });
-        let changes = self.keeper.take_changes();
+        let changes = self.tables.take_changes();
         self.actions
             .push(CatalogAction::Publish { catalog, changes });
         self.send_heads(now);
     }
 
     fn call_store(&mut self, now: Moment) {
-        let inputs = self.reading_inputs(now);
-        let call = self.reading.next_call(&inputs, &mut self.random, now);
+        let inputs = self.reader_inputs(now);
+        let call = self.reader.next_call(&inputs, &mut self.random, now);
         if call.is_some() {
-            self.called = now;
+            self.called_at = now;
         }
         self.actions.extend(call.map(CatalogAction::Call));
     }
 
-    fn reading_inputs(&self, now: Moment) -> ReadingInputs {
-        let head = self.keeper.head();
-        ReadingInputs {
-            drawn: self.draw_place(now),
+    fn reader_inputs(&self, now: Moment) -> ReaderInputs {
+        let head = self.tables.head();
+        ReaderInputs {
+            rank: self.reader_rank(now),
             holds_catalog: head.routes.revision > 0,
             age: self.age(now),
             members: self.peers.known_count(now) + 1,
@@ -602,12 +608,12 @@
         }
     }
 
-    fn draw_place(&self, now: Moment) -> Option<usize> {
-        let reads = self.reading.reads();
-        self.peers.draw_place(reads, self.age(now), now)
+    fn reader_rank(&self, now: Moment) -> Option<usize> {
+        let store_reachable = self.reader.store_reachable();
+        self.peers.reader_rank(store_reachable, self.age(now), now)
     }
 
-    fn note_members(&mut self, now: Moment) {
+    fn update_members(&mut self, now: Moment) {
         let members = self.peers.alive_count(now) + 1;
         if members != self.members {
             self.members = members;
@@ -619,40 +625,40 @@
         let interval = if self.is_informed(now) {
             HEAD_INTERVAL
         } else {
-            GREETING_INTERVAL
+            DISCOVERY_INTERVAL
         };
-        self.next_head = now + interval;
+        self.next_head_at = now + interval;
         let message = self.head_message(now);
         for to in self.peers.choose(self.fanout(now), &mut self.random) {
             self.send(to, CatalogMessage::Head(message.clone()));
         }
     }
 
-    /// To how many others a message goes at a time.
+    /// Returns the number of peers that a message is sent to per round.
     fn fanout(&self, now: Moment) -> usize {
         if self.peers.is_large(now) {
-            LARGE_FANOUT
+            LARGE_FLEET_FANOUT
         } else {
-            SMALL_FANOUT
+            SMALL_FLEET_FANOUT
         }
     }
 
     fn head_message(&mut self, now: Moment) -> HeadMessage {
-        let own = ReaderNews {
-            address: self.settings.own,
+        let own = ReaderStatus {
+            address: self.settings.gossip,
             age: Duration::ZERO,
-            reads: self.reading.reads(),
+            reads: self.reader.store_reachable(),
             leaving: self.leaving,
         };
         HeadMessage {
-            sender: self.settings.own,
-            head: self.keeper.head(),
+            sender: self.settings.gossip,
+            head: self.tables.head(),
             age: self.age(now).unwrap_or(Duration::MAX),
             reads: own.reads,
-            trouble: self.trouble.map(|at| now.since(at)),
+            trouble: self.last_failure.map(|at| now.since(at)),
             leaving: own.leaving,
             peers: self.peers.sample(now, &mut self.random),
-            readers: self.peers.reader_news(&own, now),
+            readers: self.peers.reader_statuses(&own, now),
         }
     }
 
--- a/crates/catalog/src/message.rs
+++ b/crates/catalog/src/message.rs
@@ -1,11 +1,11 @@
-//! What balancers tell each other about the catalog.
+//! Messages between balancers about the catalog.
 //!
 //! ```text
-//! UDP  Head     every half second, and at once after a change: what I hold, how sure I am of it
-//! UDP  Ask  ->  what I hold; send me what is newer
+//! UDP  Head     every half second and after each change: held state and its last confirmation
+//! UDP  Ask  ->  held state; requests everything newer
 //! UDP  <- Answer | TooLarge
-//! TCP  Ask  ->  <- Answer      the same where an answer does not fit a datagram
-//! UDP  Stops    agents that have said that they stop
+//! TCP  Ask  ->  <- Answer      for an answer that does not fit a datagram
+//! UDP  Stops    agents that announced that they are stopping
 //! ```
 
 use std::net::SocketAddrV4;
@@ -17,111 +17,114 @@
 use smallvec::SmallVec;
 
 use crate::record::{EvacuatedZone, PublishedRoute, TargetName, TargetRow};
-use crate::stops::StopNews;
+use crate::stops::StopUpdate;
 
-/// Which state of the catalog a balancer holds.
+/// The state of the catalog that a balancer holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CatalogHead {
-    /// The routes.
+    /// Head of the route table.
     pub routes: TableHead,
-    /// The targets.
+    /// Head of the target table.
     pub targets: TableHead,
-    /// The evacuated zones.
+    /// Head of the table of evacuated zones.
     pub zones: TableHead,
 }
 
-/// What a balancer knows of one that may read the store for all.
+/// Second-hand status of a balancer that may be an elected reader.
 ///
-/// In a large fleet a balancer is heard itself by few others at a time. What goes wrong if they know of the
-/// readers only what these told them: most do not hear the two whom the lot draws, take themselves to be
-/// drawn, and the calls to the store grow with the fleet.
+/// In a large fleet a balancer receives heads from few others at a time. If balancers knew only of
+/// readers that they hear themselves, most would not hear the two elected ones, would consider
+/// themselves elected, and the calls to the store would grow with the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReaderNews {
-    /// Which balancer.
+pub struct ReaderStatus {
+    /// The balancer that the status is about.
     pub address: SocketAddrV4,
-    /// How long ago it said this.
+    /// Time since the balancer reported this status.
     pub age: Duration,
-    /// Whether the store answers it.
+    /// Whether the store answers its calls.
     pub reads: bool,
-    /// Whether it has been told to stop.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// A head with what a receiver needs to judge it.
+/// A head with the data that a receiver needs to judge it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadMessage {
-    /// Who says it.
+    /// Gossip address of the sender.
     pub sender: SocketAddrV4,
-    /// What it holds.
+    /// The state that the sender holds.
     pub head: CatalogHead,
-    /// How long ago the store last confirmed this state to anybody, as far as the sender knows.
+    /// Time since the store last confirmed this state to any balancer, as far as the sender knows.
     pub age: Duration,
-    /// Whether the store answers the sender: who is turned away leaves reading to others.
+    /// Whether the store answers the sender's calls. A balancer whose calls fail ranks behind the
+    /// others in the reader election.
     pub reads: bool,
-    /// How long ago the store last failed anybody, as far as the sender knows. Entries that
-    /// vanish around that time prove nothing, and a process that starts then cannot know it.
+    /// Time since the store last failed any balancer, as far as the sender knows. Entries that
+    /// vanish around that time prove nothing, and a process that has started since cannot know of
+    /// the failure otherwise.
     pub trouble: Option<Duration>,
-    /// Whether the sender has been told to stop.
+    /// Whether the sender is shutting down.
     pub leaving: bool,
-    /// Some other balancers that the sender has heard lately.
+    /// A sample of other balancers that the sender has heard recently.
     pub peers: SmallVec<[SocketAddrV4; 4]>,
-    /// The balancers whom the lot draws first, as far as the sender knows; the sender may be among them.
-    pub readers: SmallVec<[ReaderNews; 4]>,
+    /// The balancers with the lowest election ranks, as far as the sender knows; the sender may be
+    /// among them.
+    pub readers: SmallVec<[ReaderStatus; 4]>,
 }
 
-/// What changed in the configuration.
+/// Changes of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// The operator's own number for the result.
+    /// The operator's version number of the resulting configuration.
     pub version: ConfigRevision,
-    /// The idle timeout of the result.
+    /// The idle timeout of the resulting configuration.
     pub idle_timeout: Duration,
-    /// The services of the result that no route sends flows to; mostly none.
+    /// The services of the resulting configuration that no route sends flows to; usually none.
     pub unrouted: Vec<ServiceName>,
-    /// The routes.
+    /// Changes of the routes.
     pub routes: TableDelta<SocketAddrV4, PublishedRoute>,
 }
 
-/// What changed in the catalog.
+/// Changes of the catalog.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogDelta {
-    /// The configuration, when it changed.
+    /// Changes of the configuration, if any.
     pub config: Option<ConfigDelta>,
-    /// The targets, when they changed.
+    /// Changes of the targets, if any.
     pub targets: Option<TableDelta<TargetName, TargetRow>>,
-    /// The evacuated zones, when they changed.
+    /// Changes of the evacuated zones, if any.
     pub zones: Option<TableDelta<ZoneName, EvacuatedZone>>,
 }
 
 /// A message between balancers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogMessage {
-    /// What the sender holds.
+    /// Announces the state that the sender holds.
     Head(HeadMessage),
-    /// Send what is newer than this head.
+    /// Requests everything newer than a head.
     Ask {
-        /// Who asks.
+        /// Gossip address of the requester.
         sender: SocketAddrV4,
-        /// What it holds.
+        /// The state that the requester holds.
         head: CatalogHead,
     },
-    /// What was asked for.
+    /// The answer to an ask.
     Answer {
-        /// Who answers.
+        /// Gossip address of the responder.
         sender: SocketAddrV4,
-        /// How long ago the store last confirmed the result.
+        /// Time since the store last confirmed the resulting state.
         age: Duration,
-        /// How long ago the evacuated zones were last read anew, so that it shows how long a change takes
-        /// until it is obeyed.
+        /// Time since the store read that brought the current evacuated zones; shows how long an
+        /// evacuation takes to come into force.
         zones_age: Duration,
-        /// The changes.
+        /// The changes since the requested head.
         delta: Box<CatalogDelta>,
     },
-    /// The answer does not fit a datagram: ask by stream.
+    /// The answer does not fit a datagram; the requester must ask over a stream.
     TooLarge {
-        /// Who says it.
+        /// Gossip address of the responder.
         sender: SocketAddrV4,
     },
-    /// Agents that have said that they stop.
-    Stops(StopNews),
+    /// Announces agents that are stopping.
+    Stops(StopUpdate),
 }
--- a/crates/catalog/src/peers.rs
+++ b/crates/catalog/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other balancers that this one knows of.
+//! The other balancers that this one knows, and the reader election among them.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -11,66 +11,69 @@
 use siphasher::sip::SipHasher13;
 use smallvec::SmallVec;
 
-use crate::message::ReaderNews;
+use crate::message::ReaderStatus;
 
-/// How long a silent balancer counts as alive: three missed heads. When the first reader goes
-/// silent, the next one must have taken over well within the 3 s that a change may take.
-const PEER_LIFETIME: Duration = Duration::from_millis(1_600);
+/// Time after which a silent balancer counts as dead: three missed heads. When the first reader
+/// fails, the next one must take over well within the 3 s that a change may take.
+const PEER_TTL: Duration = Duration::from_millis(1_600);
 
-/// The same for what is passed on about the readers in a fleet whose heads go to a few at random. By a model
-/// of heads to three others every half second, one in a thousand balancers knows a word of 1.9 s of age
-/// at 60 of them, and of 2.9 s at 4,000; a change may take 5 s and more in such fleets.
-const NEWS_LIFETIME: Duration = Duration::from_millis(3_500);
+/// The same for relayed reader status in a large fleet, whose heads go to a few random peers. In a
+/// model of heads to three peers every half second, one balancer in a thousand has a status 1.9 s
+/// old at 60 balancers, and 2.9 s old at 4,000; a change may take 5 s and more in such fleets.
+const STATUS_TTL: Duration = Duration::from_millis(3_500);
 
-/// In such a fleet, how long one that is silent still counts as one that reads while the store's
-/// confirmations come: somebody reads, and news of who is late by chance.
-const READING_LIFETIME: Duration = Duration::from_secs(8);
+/// How long a silent balancer in a large fleet still counts as a reader while confirmations of the
+/// store arrive: some balancer reads, and its status may be late by chance.
+const CONFIRMED_STATUS_TTL: Duration = Duration::from_secs(8);
 
-/// Confirmations up to this age come from somebody who reads.
-const FRESH_AGE: Duration = Duration::from_secs(2);
+/// Confirmations up to this age show that some balancer reads the store.
+const MAX_FRESH_AGE: Duration = Duration::from_secs(2);
 
-/// How long a silent balancer is still written to. Longer than any cut that the users describe
-/// (12 s), so that both sides of one find each other again when it heals.
-const CONTACT_LIFETIME: Duration = Duration::from_secs(30);
+/// How long heads are still sent to a silent balancer. Longer than any network partition that the
+/// users describe (12 s), so that both sides find each other again when it heals.
+const CONTACT_TTL: Duration = Duration::from_secs(30);
 
-/// Balancers remembered at most; a head goes to a few of them, so more would only cost memory.
+/// Maximum number of tracked balancers. A head goes to a few of them, so more would only cost
+/// memory.
 const MAX_PEERS: usize = 64;
 
-/// Up to this many other balancers each head goes to all of them; above, to [`LARGE_FANOUT`].
-pub(crate) const SMALL_FANOUT: usize = 12;
+/// Up to this number of other balancers, each head goes to all of them; above it, to
+/// [`LARGE_FLEET_FANOUT`].
+pub(crate) const SMALL_FLEET_FANOUT: usize = 12;
 
-/// Heads sent at a time in a large fleet. With 500 ms between rounds this keeps a node at about
-/// 1 KB/s, half of what the users allow for control.
-pub(crate) const LARGE_FANOUT: usize = 3;
+/// Number of peers that each head goes to in a large fleet. With 500 ms between rounds, a node
+/// sends about 1 KB/s, half of what the users allow for control traffic.
+pub(crate) const LARGE_FLEET_FANOUT: usize = 3;
 
-/// How many balancers read the store. One would do; two, so that the death of one is no gap.
-pub(crate) const READERS: usize = 2;
+/// Number of balancers that read the store. Two, so that the death of one leaves no gap.
+pub(crate) const READER_COUNT: usize = 2;
 
-/// How many addresses a head passes on.
-const PASSED_ON: usize = 4;
+/// Number of peer addresses in a head.
+const HEAD_PEERS: usize = 4;
 
-/// Of how many of the lowest draws a head tells. Two read; the next two are told of so that those who
-/// take over know it, and so that news of one that cannot read spreads like any other.
-const TOLD_DRAWS: usize = 4;
+/// Number of lowest-ranked balancers whose status a head carries. Two read; the next two are
+/// included so that they learn when to take over, and so that the status of a balancer that cannot
+/// read spreads like any other.
+const HEAD_READERS: usize = 4;
 
 #[derive(Clone, Copy, Debug)]
-struct Peer {
-    /// When it was last heard itself; `None` while it is only known by name.
-    heard: Option<Moment>,
-    /// When it last said anything to anybody, as far as is known.
-    spoke: Option<Moment>,
-    /// When it was named or heard last.
-    named: Moment,
+struct PeerEntry {
+    /// Last head received from it directly; `None` while it is only known from others.
+    heard_at: Option<Moment>,
+    /// Last sign of life, received directly or relayed.
+    active_at: Option<Moment>,
+    /// Last time it was heard directly or mentioned by another balancer.
+    seen_at: Moment,
     reads: bool,
     leaving: bool,
 }
 
-/// Invariant: never holds `own`.
+/// Invariant: never contains `own`.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerTable {
     own: SocketAddrV4,
     seeds: SmallVec<[SocketAddrV4; 3]>,
-    peers: BTreeMap<SocketAddrV4, Peer>,
+    peers: BTreeMap<SocketAddrV4, PeerEntry>,
 }
 
 impl PeerTable {
@@ -89,7 +92,7 @@
         self.seeds = others.filter(|&seed| seed != self.own).collect();
     }
 
-    pub(crate) fn hear(
+    pub(crate) fn record_head(
         &mut self,
         peer: SocketAddrV4,
         reads: bool,
@@ -100,124 +103,130 @@
         if peer == self.own {
             return;
         }
-        self.make_room(peer, random);
-        let heard = Peer {
-            heard: Some(now),
-            spoke: Some(now),
-            named: now,
+        self.evict_for(peer, random);
+        let heard = PeerEntry {
+            heard_at: Some(now),
+            active_at: Some(now),
+            seen_at: now,
             reads,
             leaving,
         };
         self.peers.insert(peer, heard);
     }
 
-    /// Notes that somebody else has heard of `peer`.
-    pub(crate) fn name(&mut self, peer: SocketAddrV4, now: Moment) {
+    /// Records that another balancer knows `peer`.
+    pub(crate) fn record_mention(&mut self, peer: SocketAddrV4, now: Moment) {
         if peer == self.own || self.is_full(peer) {
             return;
         }
-        let entry = self.peers.entry(peer).or_insert(Peer {
-            heard: None,
-            spoke: None,
-            named: now,
+        let entry = self.peers.entry(peer).or_insert(PeerEntry {
+            heard_at: None,
+            active_at: None,
+            seen_at: now,
             reads: true,
             leaving: false,
         });
-        entry.named = now;
+        entry.seen_at = now;
     }
 
-    /// Takes what another balancer passes on about one that may read, if it is the newest word of it.
-    pub(crate) fn pass_on(&mut self, news: &ReaderNews, random: &mut SmallRng, now: Moment) {
-        if news.address == self.own {
+    /// Records a relayed reader status if it is the newest one of that balancer.
+    pub(crate) fn record_status(
+        &mut self,
+        status: &ReaderStatus,
+        random: &mut SmallRng,
+        now: Moment,
+    ) {
+        if status.address == self.own {
             return;
         }
-        let spoke = now - news.age;
-        let known = self.peers.get(&news.address);
+        let active_at = now - status.age;
+        let known = self.peers.get(&status.address);
         if known
-            .and_then(|peer| peer.spoke)
-            .is_some_and(|at| at >= spoke)
+            .and_then(|peer| peer.active_at)
+            .is_some_and(|at| at >= active_at)
         {
             return;
         }
-        let heard = known.and_then(|peer| peer.heard);
-        self.make_room(news.address, random);
-        let peer = Peer {
-            heard,
-            spoke: Some(spoke),
-            named: now,
-            reads: news.reads,
-            leaving: news.leaving,
+        let heard_at = known.and_then(|peer| peer.heard_at);
+        self.evict_for(status.address, random);
+        let peer = PeerEntry {
+            heard_at,
+            active_at: Some(active_at),
+            seen_at: now,
+            reads: status.reads,
+            leaving: status.leaving,
         };
-        self.peers.insert(news.address, peer);
+        self.peers.insert(status.address, peer);
     }
 
-    /// What is known of the lowest draws, this balancer's own among them.
-    pub(crate) fn reader_news(
+    /// Returns the known status of the lowest-ranked balancers, this one included.
+    pub(crate) fn reader_statuses(
         &self,
-        own: &ReaderNews,
+        own: &ReaderStatus,
         now: Moment,
-    ) -> SmallVec<[ReaderNews; TOLD_DRAWS]> {
-        let lifetime = self.news_lifetime(None, now);
-        let others = self.spoke_within(lifetime, now);
-        let others = others.map(|(address, peer, age)| ReaderNews {
+    ) -> SmallVec<[ReaderStatus; HEAD_READERS]> {
+        let ttl = self.status_ttl(None, now);
+        let others = self.active_within(ttl, now);
+        let others = others.map(|(address, peer, age)| ReaderStatus {
             address,
             age,
             reads: peer.reads,
             leaving: peer.leaving,
         });
-        let mut news: Vec<ReaderNews> = others.chain([*own]).collect();
-        news.sort_by_key(|news| draw(news.address));
-        news.into_iter().take(TOLD_DRAWS).collect()
+        let mut statuses: Vec<ReaderStatus> = others.chain([*own]).collect();
+        statuses.sort_by_key(|status| rank(status.address));
+        statuses.into_iter().take(HEAD_READERS).collect()
     }
 
-    /// How long a balancer that says nothing any more counts as one that may read; `age` is how long ago the
-    /// store confirmed what this one holds.
-    fn news_lifetime(&self, age: Option<Duration>, now: Moment) -> Duration {
+    /// Returns how long a silent balancer still counts as a possible reader. `age` is the time
+    /// since the store last confirmed the catalog held here.
+    fn status_ttl(&self, age: Option<Duration>, now: Moment) -> Duration {
         if !self.is_large(now) {
-            return PEER_LIFETIME;
+            return PEER_TTL;
         }
-        if age.is_some_and(|age| age < FRESH_AGE) {
-            READING_LIFETIME
+        if age.is_some_and(|age| age < MAX_FRESH_AGE) {
+            CONFIRMED_STATUS_TTL
         } else {
-            NEWS_LIFETIME
+            STATUS_TTL
         }
     }
 
-    /// Whether there are so many balancers that heads go to a few of them at random.
+    /// Whether the fleet is so large that heads go to a few random peers.
     pub(crate) fn is_large(&self, now: Moment) -> bool {
-        self.known_count(now) > SMALL_FANOUT
+        self.known_count(now) > SMALL_FLEET_FANOUT
     }
 
-    /// Other balancers that have been heard, or heard of, lately enough to be there.
+    /// Returns the number of other balancers that showed a sign of life recently, directly or
+    /// through others.
     pub(crate) fn known_count(&self, now: Moment) -> usize {
-        self.spoke_within(READING_LIFETIME, now).count()
+        self.active_within(CONFIRMED_STATUS_TTL, now).count()
     }
 
-    /// Other balancers that said anything within `span`, as far as is known, with how long ago.
-    fn spoke_within(
+    /// Returns the other balancers with a sign of life within `window`, with its age.
+    fn active_within(
         &self,
-        span: Duration,
+        window: Duration,
         now: Moment,
-    ) -> impl Iterator<Item = (SocketAddrV4, &Peer, Duration)> {
+    ) -> impl Iterator<Item = (SocketAddrV4, &PeerEntry, Duration)> {
         self.peers.iter().filter_map(move |(&address, peer)| {
-            let age = now.since(peer.spoke?);
-            (age < span).then_some((address, peer, age))
+            let age = now.since(peer.active_at?);
+            (age < window).then_some((address, peer, age))
         })
     }
 
-    /// Lets some peer go for a new one when the table is full, but none whom the lot draws first.
+    /// Evicts a random peer for a new one if the table is full, but none of the lowest-ranked ones.
     ///
-    /// What goes wrong if new ones are turned away instead: in a fleet larger than the table some are in few
-    /// tables, hardly ever written to, and hear of everything seconds late.
-    fn make_room(&mut self, new: SocketAddrV4, random: &mut SmallRng) {
+    /// If new peers were rejected instead, some balancers of a fleet larger than the table would be
+    /// in few tables, would rarely be sent heads, and would learn of every change seconds late.
+    fn evict_for(&mut self, new: SocketAddrV4, random: &mut SmallRng) {
         if !self.is_full(new) {
             return;
         }
         let mut peers: Vec<SocketAddrV4> = self.peers.keys().copied().collect();
-        peers.sort_unstable_by_key(|peer| draw(*peer));
-        let others = peers.into_iter().skip(TOLD_DRAWS);
-        if let Some(chosen) = others.choose(random) {
-            self.peers.remove(&chosen);
+        peers.sort_unstable_by_key(|peer| rank(*peer));
+        let others = peers.into_iter().skip(HEAD_READERS);
+        if let Some(evicted) = others.choose(random) {
+            self.peers.remove(&evicted);
         }
     }
 
@@ -225,23 +234,21 @@
         self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&peer)
     }
 
-    pub(crate) fn forget_silent(&mut self, now: Moment) {
+    pub(crate) fn remove_silent(&mut self, now: Moment) {
         self.peers
-            .retain(|_, peer| now.since(peer.named) < CONTACT_LIFETIME);
+            .retain(|_, peer| now.since(peer.seen_at) < CONTACT_TTL);
     }
 
-    fn alive(&self, now: Moment) -> impl Iterator<Item = (SocketAddrV4, &Peer)> {
-        let is_alive = move |peer: &Peer| {
-            peer.heard
-                .is_some_and(|heard| now.since(heard) < PEER_LIFETIME)
-        };
+    fn alive(&self, now: Moment) -> impl Iterator<Item = (SocketAddrV4, &PeerEntry)> {
+        let is_alive =
+            move |peer: &PeerEntry| peer.heard_at.is_some_and(|at| now.since(at) < PEER_TTL);
         self.peers
             .iter()
             .filter(move |(_, peer)| is_alive(peer))
             .map(|(&address, peer)| (address, peer))
     }
 
-    /// Whether any other balancer was named or heard lately, or stands in the settings.
+    /// Whether any other balancer was heard or mentioned recently, or is a configured seed.
     pub(crate) fn knows_others(&self) -> bool {
         !self.peers.is_empty() || !self.seeds.is_empty()
     }
@@ -250,26 +257,28 @@
         self.alive(now).count()
     }
 
-    /// This balancer's place among the [`READERS`] lowest draws, 0 the first; `None` beyond them.
-    /// Those whom the store answers go before the others; `reads` says whether it answers this
-    /// one. Everybody computes the same draw, so nobody appoints a reader; tables that differ for
-    /// a while draw a reader more or less.
-    pub(crate) fn draw_place(
+    /// Returns this balancer's rank among the [`READER_COUNT`] elected readers, 0 for the first, or
+    /// `None` if it is not elected. Balancers that the store answers rank before the others;
+    /// `store_reachable` says whether it answers this one. Every balancer computes the same ranks,
+    /// so the election needs no messages of its own; while tables differ, one reader more or fewer
+    /// may be elected.
+    pub(crate) fn reader_rank(
         &self,
-        reads: bool,
+        store_reachable: bool,
         age: Option<Duration>,
         now: Moment,
     ) -> Option<usize> {
-        let mine = (!reads, draw(self.own));
-        let lifetime = self.news_lifetime(age, now);
-        let there = self.spoke_within(lifetime, now);
-        let there = there.filter(|(_, peer, _)| !peer.leaving);
-        let ahead = there.filter(|&(address, peer, _)| (!peer.reads, draw(address)) < mine);
-        let place = ahead.take(READERS).count();
-        (place < READERS).then_some(place)
+        let own_rank = (!store_reachable, rank(self.own));
+        let ttl = self.status_ttl(age, now);
+        let candidates = self.active_within(ttl, now);
+        let candidates = candidates.filter(|(_, peer, _)| !peer.leaving);
+        let ahead =
+            candidates.filter(|&(address, peer, _)| (!peer.reads, rank(address)) < own_rank);
+        let position = ahead.take(READER_COUNT).count();
+        (position < READER_COUNT).then_some(position)
     }
 
-    /// Up to `count` balancers to write to, unheard ones and seeds included.
+    /// Returns up to `count` random balancers to send to, including seeds and peers not heard yet.
     pub(crate) fn choose(
         &self,
         count: usize,
@@ -277,25 +286,26 @@
     ) -> SmallVec<[SocketAddrV4; 8]> {
         let known = self.peers.keys().copied();
         let seeds = self.seeds.iter().copied();
-        let unnamed = seeds.filter(|seed| !self.peers.contains_key(seed));
+        let unknown = seeds.filter(|seed| !self.peers.contains_key(seed));
         known
-            .chain(unnamed)
+            .chain(unknown)
             .choose_multiple(random, count)
             .into_iter()
             .collect()
     }
 
-    /// Some living balancers, for a head to pass on.
+    /// Returns a random sample of living balancers for a head.
     pub(crate) fn sample(&self, now: Moment, random: &mut SmallRng) -> SmallVec<[SocketAddrV4; 4]> {
         self.alive(now)
             .map(|(address, _)| address)
-            .choose_multiple(random, PASSED_ON)
+            .choose_multiple(random, HEAD_PEERS)
             .into_iter()
             .collect()
     }
 }
 
-fn draw(address: SocketAddrV4) -> u64 {
+/// Returns the election rank of a balancer; the lowest ranks read the store.
+fn rank(address: SocketAddrV4) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7265_6164, 0x6572_7300);
     hasher.write(&address.ip().octets());
     hasher.write(&address.port().to_be_bytes());
--- /dev/null
+++ b/crates/catalog/src/reader.rs
@@ -0,0 +1,249 @@
+//! Decides when this process calls the store.
+//!
+//! Every call is charged, including a waiting watch and a refused call, so two elected balancers
+//! read for all. If only those ever read, no balancer would learn of a change while both are cut
+//! off from a store that serves the others. Such a state shows when no head has carried a fresh
+//! confirmation for [`STALE_AGE`]. Other balancers then start to read as fallback readers, each
+//! with a probability that grows with time, so that a large fleet does not call all at once.
+
+use std::time::Duration;
+
+use lovagelatch_domain::Moment;
+use rand::Rng;
+use rand::rngs::SmallRng;
+
+use crate::answer::{StoreCall, StoreFailure};
+use crate::peers::READER_COUNT;
+
+/// How long the watch of the first reader waits in the store. A connection that went silent shows
+/// only when a watch is overdue, and a change must be in force 3 s after it was made, so the wait
+/// and another read must fit well into that.
+pub const WATCH_WAIT: Duration = Duration::from_millis(1_500);
+
+/// How long the watches of the other readers wait. They cover the time until the first reader
+/// notices that its connection went silent; a long wait means fewer calls to the store.
+const STANDBY_WATCH_WAIT: Duration = Duration::from_secs(5);
+
+/// Delay between an answer with changes and the next watch. Changes come in bursts, and each call
+/// is charged; a change is still in force well within the 3 s that it may take.
+const CHANGE_DELAY: Duration = Duration::from_millis(250);
+
+/// Time after the store's recovery within which every living target is listed again: the users name
+/// about two seconds for the entries that expired during the failure.
+pub const RECOVERY_WINDOW: Duration = Duration::from_secs(2);
+
+/// Delay between an answer with changes and the next watch while entries reappear after the store's
+/// recovery: at the end of [`RECOVERY_WINDOW`], a target that is not listed is considered gone.
+const RECOVERY_CHANGE_DELAY: Duration = Duration::from_millis(50);
+
+/// The longest backoff before a failed call is retried.
+pub const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(1_000);
+
+/// The first backoff after a failed call; doubles up to [`MAX_RETRY_BACKOFF`].
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(100);
+
+/// Age of the last confirmation above which balancers that are not elected start to read. Longer
+/// than the wait of a watch plus two head intervals, so that it is never reached in normal
+/// operation.
+const STALE_AGE: Duration = Duration::from_millis(2_600);
+
+/// The same in a large fleet, where a confirmation takes several rounds of heads to spread. In the
+/// model of [`crate::peers`], the newest confirmation that one balancer in a thousand has is 2.9 s
+/// old at 60 balancers and 3.4 s old at 4,000.
+const LARGE_FLEET_STALE_AGE: Duration = Duration::from_secs(4);
+
+/// How long a fallback reader goes on reading, so that it does not flap.
+const FALLBACK_PERIOD: Duration = Duration::from_secs(6);
+
+/// Backoff of a fallback reader whose call failed: the store serves no balancer then, and the
+/// elected readers will notice its recovery soon enough.
+const FALLBACK_BACKOFF: Duration = Duration::from_secs(2);
+
+/// Backoff of an elected reader without a catalog: it cannot serve until it has one, so it must
+/// notice the recovery of the store at once. After a power loss during a store outage, a backoff of
+/// 1 s added half a second to the outage of all.
+const EMPTY_READER_BACKOFF: Duration = Duration::from_millis(150);
+
+/// Backoff of the other balancers without a catalog; the readers inform them.
+const EMPTY_BACKOFF: Duration = Duration::from_millis(600);
+
+/// Time after a failed call until a balancer that is no longer elected probes the store again;
+/// doubles up to [`MAX_PROBE_INTERVAL`]. Only a successful call makes it a reader again: if it
+/// became one without, the others would stop reading and all would miss changes for the time of a
+/// watch.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(3);
+
+/// The longest interval between two probes.
+const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(12);
+
+/// The state of the member that the reader depends on.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReaderInputs {
+    /// This process's rank among the readers, if it is elected.
+    pub(crate) rank: Option<usize>,
+    /// Whether this process has a catalog.
+    pub(crate) holds_catalog: bool,
+    /// Time since the store last confirmed the catalog; `None` if never.
+    pub(crate) age: Option<Duration>,
+    /// Number of known living balancers, this one included.
+    pub(crate) members: usize,
+    /// Whether the fleet is so large that changes take several rounds of heads to spread.
+    pub(crate) is_large: bool,
+    /// The revision up to which the catalog is complete.
+    pub(crate) revision: u64,
+}
+
+/// The store calls of this process, at most one at a time.
+#[derive(Clone, Debug)]
+pub(crate) struct ReaderState {
+    in_flight: bool,
+    /// No call is made before this moment.
+    next_call_at: Moment,
+    backoff: Duration,
+    /// The revision after which the next watch starts; `None` if a list is needed first.
+    watch_after: Option<u64>,
+    fallback_until: Moment,
+    /// Whether the last call failed.
+    failed: bool,
+    probe_interval: Duration,
+    /// When a balancer whose call failed probes the store again.
+    probe_at: Moment,
+}
+
+impl ReaderState {
+    /// Creates a reader whose first call is due at `first`.
+    pub(crate) fn new(first: Moment) -> Self {
+        Self {
+            in_flight: false,
+            next_call_at: first,
+            backoff: MIN_RETRY_BACKOFF,
+            watch_after: None,
+            fallback_until: Moment::ZERO,
+            failed: false,
+            probe_interval: MIN_PROBE_INTERVAL,
+            probe_at: Moment::ZERO,
+        }
+    }
+
+    /// Whether the store answers this process, as far as it knows.
+    pub(crate) fn store_reachable(&self) -> bool {
+        !self.failed
+    }
+
+    /// Returns the end of the delay of the next call, or `None` if there is no delay.
+    pub(crate) fn next_due(&self, now: Moment) -> Option<Moment> {
+        (!self.in_flight && now < self.next_call_at).then_some(self.next_call_at)
+    }
+
+    /// Returns the call to make now, if any.
+    pub(crate) fn next_call(
+        &mut self,
+        inputs: &ReaderInputs,
+        random: &mut SmallRng,
+        now: Moment,
+    ) -> Option<StoreCall> {
+        if self.in_flight || now < self.next_call_at || !self.should_read(inputs, random, now) {
+            return None;
+        }
+        self.in_flight = true;
+        let known = self.watch_after.map(|after| after.max(inputs.revision));
+        Some(match known {
+            // Also without a configuration: the watch returns it when it is written. Polling by
+            // lists until then made two thirds of all calls of a quiet minute.
+            Some(after) => StoreCall::Watch {
+                after,
+                wait: self.watch_wait(inputs),
+            },
+            None => StoreCall::List,
+        })
+    }
+
+    fn watch_wait(&self, inputs: &ReaderInputs) -> Duration {
+        match inputs.rank {
+            _ if self.failed => Duration::ZERO,
+            Some(rank) if rank > 0 => STANDBY_WATCH_WAIT,
+            _ => WATCH_WAIT,
+        }
+    }
+
+    fn should_read(&mut self, inputs: &ReaderInputs, random: &mut SmallRng, now: Moment) -> bool {
+        let Some(age) = inputs.age else {
+            return true;
+        };
+        let probe_due = self.failed && now >= self.probe_at;
+        if inputs.rank.is_some() || probe_due || now < self.fallback_until {
+            return true;
+        }
+        let limit = if inputs.is_large {
+            LARGE_FLEET_STALE_AGE
+        } else {
+            STALE_AGE
+        };
+        let Some(excess) = age.checked_sub(limit) else {
+            return false;
+        };
+        let growth = 2_f64.powf(excess.as_secs_f64().min(30.0));
+        #[allow(clippy::cast_precision_loss)]
+        let chance = READER_COUNT as f64 / inputs.members.max(1) as f64 * growth;
+        let starts_fallback = random.random_bool(chance.clamp(0.0, 1.0));
+        if starts_fallback {
+            self.fallback_until = now + FALLBACK_PERIOD;
+        }
+        starts_fallback
+    }
+
+    /// Records that the call in flight succeeded and covers all changes up to `revision`.
+    /// `recovered_at` is when the store first answered after its last failure.
+    pub(crate) fn succeeded(
+        &mut self,
+        revision: u64,
+        changed: bool,
+        recovered_at: Option<Moment>,
+        now: Moment,
+    ) {
+        self.in_flight = false;
+        if changed {
+            let recovering = recovered_at.is_some_and(|at| now.since(at) < RECOVERY_WINDOW);
+            let delay = if recovering {
+                RECOVERY_CHANGE_DELAY
+            } else {
+                CHANGE_DELAY
+            };
+            self.next_call_at = now + delay;
+        }
+        self.backoff = MIN_RETRY_BACKOFF;
+        self.failed = false;
+        self.probe_interval = MIN_PROBE_INTERVAL;
+        self.watch_after = Some(revision);
+    }
+
+    /// Records that the call in flight failed.
+    pub(crate) fn failed(&mut self, failure: StoreFailure, inputs: &ReaderInputs, now: Moment) {
+        self.in_flight = false;
+        if failure == StoreFailure::HistoryGone {
+            self.watch_after = None;
+            return;
+        }
+        self.failed = true;
+        self.probe_at = now + self.probe_interval;
+        self.probe_interval = (self.probe_interval * 2).min(MAX_PROBE_INTERVAL);
+        let is_fallback = std::mem::take(&mut self.fallback_until) > now;
+        let backoff = if is_fallback {
+            FALLBACK_BACKOFF
+        } else {
+            self.backoff
+        };
+        self.next_call_at = now
+            + match inputs.rank {
+                _ if inputs.holds_catalog => backoff,
+                Some(_) => EMPTY_READER_BACKOFF,
+                None => EMPTY_BACKOFF,
+            };
+        self.backoff = (self.backoff * 2).min(MAX_RETRY_BACKOFF);
+    }
+
+    /// Makes the next call a list.
+    pub(crate) fn list_again(&mut self) {
+        self.watch_after = None;
+    }
+}
--- a/crates/catalog/src/record.rs
+++ b/crates/catalog/src/record.rs
@@ -1,4 +1,4 @@
-//! The records that the store holds, in the project's own words.
+//! The records of the store, decoded into types of this project.
 
 use std::net::SocketAddrV4;
 use std::num::NonZeroU32;
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// The store's name of a backend server. A restart mostly has another; where it has the same,
-/// [`TargetStart`] tells them apart.
+/// The name of a backend server in the store. A restarted server usually gets another name; if it
+/// keeps the name, [`TargetStart`] tells the two apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TargetName(
@@ -18,47 +18,48 @@
     pub Box<str>,
 );
 
-/// Which start of a backend server a record is of: the Unix millisecond that it names, 0 where it names
-/// none. Only compared for equality: a clock may be set back, so a later start may name less.
+/// Identifies one start of a backend server: its start time in Unix milliseconds, or 0 if the
+/// record does not say. Compared for equality only: after a clock is set back, a later start may
+/// have a lower value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TargetStart(pub u64);
 
-/// One backend server as it registered itself.
+/// A backend server as it registered itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedTarget {
-    /// Its name.
+    /// The name in the key of its entry.
     pub name: TargetName,
-    /// The one service it serves.
+    /// The one service that it serves.
     pub service: ServiceName,
-    /// Where it listens. Only its IP address matters here: packets go to the agent beside it.
+    /// Where it listens. Only the IP address matters here: packets go to the agent beside it.
     pub address: SocketAddrV4,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// How many requests it runs at once. Invariant: at least 1.
+    /// The number of requests that it runs concurrently. Invariant: at least 1.
     pub slots: u16,
-    /// Whether it has announced that it will stop: no new flows.
+    /// Whether it has announced that it will stop; it gets no new flows then.
     pub leaving: bool,
-    /// How long it stays slow after its start, in milliseconds from when the record was written.
+    /// Remaining warm-up time in milliseconds, as of when the record was written.
     pub warming_ms: u32,
-    /// Which of its starts this is: another one holds none of the flows of the one before.
+    /// Identifies the current start. A restarted server holds no flows of an earlier start.
     pub start: TargetStart,
 }
 
-/// What the store holds under a target's name.
+/// The entry that the store holds under a target's name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetRow {
-    /// A target.
+    /// A decoded target.
     Published(PublishedTarget),
-    /// Something that cannot be read, perhaps of another writer: no target to use. It is a row all
-    /// the same, so that what balancers hold depends on what the store holds and on nothing else:
-    /// one that kept its last good record would differ from one that started since, and both would
-    /// take the store's list again and again.
+    /// An entry that cannot be decoded, perhaps of another writer; it provides no target. It still
+    /// takes a row, so that the catalog depends on the content of the store alone: a balancer that
+    /// kept the last good record would differ from one that has started since, and both would list
+    /// the store again and again.
     Unreadable(TargetName),
 }
 
 impl TargetRow {
-    /// Under which name it lies in the store.
+    /// Returns the name that the store holds the entry under.
     #[must_use]
     pub fn name(&self) -> &TargetName {
         match self {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The target, if it could be read.
+    /// Returns the target, or `None` if the entry could not be decoded.
     #[must_use]
     pub fn target(&self) -> Option<&PublishedTarget> {
         match self {
@@ -85,7 +86,7 @@
     }
 }
 
-/// A zone whose targets get no new flows, because the operator evacuates it.
+/// A zone that the operator evacuates; its targets get no new flows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EvacuatedZone(pub ZoneName);
@@ -98,39 +99,40 @@
     }
 }
 
-/// What a service's targets bear in the time after their start, where the operator names a bound.
+/// The limit on new flows of a service's cold targets, if the operator sets one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WarmupRule {
-    /// How long a target is cold from its start on, in milliseconds.
+    /// How long a target is cold after its start, in milliseconds.
     pub span_ms: u32,
-    /// How many new flows it bears a second meanwhile, in thousandths. Never 0: no bound is no rule.
+    /// New flows per second that a cold target can take, in thousandths. Non-zero: a service
+    /// without a limit has no rule.
     pub rate_milli: NonZeroU32,
 }
 
 /// A service that a route sends flows to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteShare {
-    /// The service.
+    /// The service that receives this share of the flows.
     pub service: ServiceName,
-    /// Its part of the new flows, relative to the route's other shares.
+    /// Share of the new flows, relative to the route's other weights.
     pub weight: u32,
-    /// What its targets bear while they are cold; the same in every share of the service.
+    /// Limit of its cold targets; the same in every share of the service.
     pub warmup: Option<WarmupRule>,
 }
 
-/// One address that callers send to, and the services behind it.
+/// An address that callers send to, and the services behind it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedRoute {
-    /// The address and port in callers' packets.
+    /// Destination address and port in callers' packets.
     pub address: SocketAddrV4,
     /// The route's name, for logs.
     pub name: String,
-    /// Whether its requests may be run again: then a flow whose target is lost may be ended early,
-    /// so that its client asks elsewhere.
+    /// Whether its requests may be retried. If so, a flow whose target is lost may be ended early,
+    /// so that the client retries elsewhere.
     pub idempotent: bool,
-    /// Where new flows go.
+    /// The services that new flows are distributed to.
     pub shares: SmallVec<[RouteShare; 2]>,
-    /// The regions that its flows are bound to; empty where they may go anywhere.
+    /// The regions that its flows are restricted to; empty if there is no restriction.
     pub homes: Box<[RegionName]>,
 }
 
@@ -142,16 +144,16 @@
     }
 }
 
-/// A whole configuration as the operator wrote it.
+/// A complete configuration as written by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedConfig {
-    /// The operator's own number for it.
+    /// The operator's version number.
     pub version: ConfigRevision,
-    /// How long a flow may be silent before it may be forgotten.
+    /// How long a flow may be idle before its state may be dropped.
     pub idle_timeout: Duration,
-    /// Its routes, in any order.
+    /// The routes, in any order.
     pub routes: Vec<PublishedRoute>,
-    /// The services that it names and sends no route's flows to. Targets of services that it does
-    /// not name at all are not this system's.
+    /// The services that it lists without sending flows of any route to them. Targets of services
+    /// that the configuration does not list belong to another system.
     pub unrouted: Vec<ServiceName>,
 }
--- a/crates/catalog/src/stops.rs
+++ b/crates/catalog/src/stops.rs
@@ -1,8 +1,8 @@
-//! Agents that have said that they stop, as balancers pass it on.
+//! Announcements of agents that they are stopping, as balancers relay them.
 //!
-//! An agent tells the balancers that sent to it lately. What goes wrong if only those know: another balancer, or
-//! one that has just started, takes the silence of a planned restart for a lasting one and resets open
-//! flows that the agent's target still holds.
+//! An agent notifies the balancers that sent to it recently. If only those knew, another balancer,
+//! or one that has just started, would take the silence of a planned restart for a failure and
+//! reset open flows that the agent's target still holds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,59 +11,60 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// How long an agent that said that it stops may be silent: its successor is starting.
-pub const RESTART_SPAN: Duration = Duration::from_secs(6);
+/// How long an agent that announced its stop may be silent while its successor starts.
+pub const RESTART_GRACE: Duration = Duration::from_secs(6);
 
-/// An agent repeats that it stops until it ends; what comes later than this is another stop.
-const SAME_STOP_SPAN: Duration = Duration::from_secs(1);
+/// An agent repeats its announcement until it exits; one that comes later than this after the
+/// previous one belongs to another stop.
+const REPEAT_WINDOW: Duration = Duration::from_secs(1);
 
-/// In how many rounds a stop is passed on after it became known.
-const ROUNDS: u8 = 3;
+/// Number of gossip rounds in which a new stop is relayed.
+const RELAY_ROUNDS: u8 = 3;
 
-/// Stops in one message at most.
-const MESSAGE_STOPS: usize = 64;
+/// Maximum number of stops in a message.
+const MAX_MESSAGE_STOPS: usize = 64;
 
-/// Stops remembered at most.
-const MAX_STOPS: usize = 1_024;
+/// Maximum number of stops that are tracked.
+const MAX_TRACKED_STOPS: usize = 1_024;
 
-/// An agent said that it stops.
+/// An agent's announcement that it is stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentStop {
-    /// Which agent.
+    /// The agent that is stopping.
     pub agent: AgentAddress,
-    /// How long ago it said so.
+    /// Time since the announcement.
     pub age: Duration,
 }
 
-/// Some of them.
+/// A list of stop announcements.
 pub type StopList = SmallVec<[AgentStop; 4]>;
 
-/// What a balancer knows of stops.
+/// The stops that a balancer reports to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StopNews {
-    /// The agents that said that they stop.
+pub struct StopUpdate {
+    /// The agents that announced a stop.
     pub stops: StopList,
-    /// For how long back they are all that the sender knows of, and it would know of any other.
+    /// How far back the list is complete: the sender would know of any other stop in that time.
     pub covers: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct StopRecord {
     at: Moment,
-    /// Rounds in which it is still to be passed on.
+    /// Rounds in which it still has to be relayed.
     rounds: u8,
 }
 
-/// The stops that a balancer knows of.
+/// The stops that this balancer knows of.
 #[derive(Clone, Debug)]
 pub(crate) struct StopTable {
     stops: BTreeMap<AgentAddress, StopRecord>,
-    /// Every stop since then is known.
+    /// The time since which every stop is known.
     since: Moment,
 }
 
 impl StopTable {
-    /// A table that knows nothing of what was before `now`.
+    /// Creates a table without knowledge of stops before `now`.
     pub(crate) fn new(now: Moment) -> Self {
         Self {
             stops: BTreeMap::new(),
@@ -71,73 +72,77 @@
         }
     }
 
-    /// Since when every stop is known.
+    /// Returns the time since which every stop is known.
     pub(crate) fn since(&self) -> Moment {
         self.since
     }
 
-    /// Takes what another balancer knows; what of it is new.
-    pub(crate) fn take_news(&mut self, news: &StopNews, now: Moment) -> StopList {
-        self.since = self.since.min(now - news.covers);
-        self.take(&news.stops, now)
+    /// Merges a report of another balancer and returns the stops that are new.
+    pub(crate) fn merge_update(&mut self, update: &StopUpdate, now: Moment) -> StopList {
+        self.since = self.since.min(now - update.covers);
+        self.record(&update.stops, now)
     }
 
-    /// Takes what an agent or another balancer said; what of it is new.
-    pub(crate) fn take(&mut self, stops: &[AgentStop], now: Moment) -> StopList {
+    /// Records stops from agents or another balancer and returns those that are new.
+    pub(crate) fn record(&mut self, stops: &[AgentStop], now: Moment) -> StopList {
         let mut new = stops.to_vec();
-        new.retain(|stop| stop.age < RESTART_SPAN && self.note(*stop, now));
+        new.retain(|stop| stop.age < RESTART_GRACE && self.record_one(*stop, now));
         new.into()
     }
 
-    fn note(&mut self, stop: AgentStop, now: Moment) -> bool {
+    fn record_one(&mut self, stop: AgentStop, now: Moment) -> bool {
         let at = now - stop.age;
         if let Some(known) = self.stops.get_mut(&stop.agent) {
-            let is_new = at > known.at + SAME_STOP_SPAN;
+            let is_new = at > known.at + REPEAT_WINDOW;
             known.at = known.at.max(at);
             if is_new {
-                known.rounds = ROUNDS;
+                known.rounds = RELAY_ROUNDS;
             }
             return is_new;
         }
-        if self.stops.len() >= MAX_STOPS {
+        if self.stops.len() >= MAX_TRACKED_STOPS {
             return false;
         }
-        let record = StopRecord { at, rounds: ROUNDS };
+        let record = StopRecord {
+            at,
+            rounds: RELAY_ROUNDS,
+        };
         self.stops.insert(stop.agent, record);
         true
     }
 
-    /// What is to be passed on in this round; `None` where that is nothing.
-    pub(crate) fn next_round(&mut self, now: Moment) -> Option<StopNews> {
+    /// Returns the stops to relay in this round, or `None` if there are none.
+    pub(crate) fn next_round(&mut self, now: Moment) -> Option<StopUpdate> {
         self.stops
-            .retain(|_, record| now.since(record.at) < RESTART_SPAN);
+            .retain(|_, record| now.since(record.at) < RESTART_GRACE);
         let due = self
             .stops
             .iter_mut()
             .filter(|(_, record)| record.rounds > 0);
-        let told = due.take(MESSAGE_STOPS).map(|(&agent, record)| {
+        let relayed = due.take(MAX_MESSAGE_STOPS).map(|(&agent, record)| {
             record.rounds -= 1;
             let age = now.since(record.at);
             AgentStop { agent, age }
         });
-        let stops: StopList = told.collect();
-        // Others may be known that were passed on before.
+        let stops: StopList = relayed.collect();
+        // The list is partial: other known stops may have been relayed before.
         let covers = Duration::ZERO;
-        (!stops.is_empty()).then_some(StopNews { stops, covers })
+        (!stops.is_empty()).then_some(StopUpdate { stops, covers })
     }
 
-    /// The latest stops, for a process that has just started; `None` from one that has itself, and knows of none.
-    pub(crate) fn latest(&self, now: Moment) -> Option<StopNews> {
+    /// Returns the most recent stops for a process that has just started; `None` if this process
+    /// itself started recently and knows of none.
+    pub(crate) fn recent(&self, now: Moment) -> Option<StopUpdate> {
         let stops = self.stops.iter().map(|(&agent, record)| AgentStop {
             agent,
             age: now.since(record.at),
         });
-        let mut stops: StopList = stops.filter(|stop| stop.age < RESTART_SPAN).collect();
+        let mut stops: StopList = stops.filter(|stop| stop.age < RESTART_GRACE).collect();
         stops.sort_unstable_by_key(|stop| stop.age);
-        let left_out = stops.get(MESSAGE_STOPS).map(|stop| stop.age);
-        stops.truncate(MESSAGE_STOPS);
-        let known = now.since(self.since);
-        let covers = left_out.map_or(known, |age| age.min(known));
-        (!stops.is_empty() || covers >= RESTART_SPAN).then_some(StopNews { stops, covers })
+        let omitted_age = stops.get(MAX_MESSAGE_STOPS).map(|stop| stop.age);
+        stops.truncate(MAX_MESSAGE_STOPS);
+        let known_for = now.since(self.since);
+        let covers = omitted_age.map_or(known_for, |age| age.min(known_for));
+        (!stops.is_empty() || covers >= RESTART_GRACE).then_some(StopUpdate { stops, covers })
     }
 }
--- a/crates/catalog/src/table.rs
+++ b/crates/catalog/src/table.rs
@@ -1,61 +1,61 @@
-//! Changes of one table of the catalog, as the store tells them.
+//! Changes of one catalog table, as the store reports them.
 
 use std::sync::Arc;
 
 use lovagelatch_membership::{RowChange, TableError, TableIndex, TableRow};
 
-/// What a watch brought about the rows of a table: the last event of each.
-pub(crate) struct TableNews<V: TableRow> {
+/// Row changes that a watch reported: the last event of each row.
+pub(crate) struct TableUpdate<V: TableRow> {
     written: Vec<(u64, V)>,
     removed: Vec<(u64, V::Key)>,
-    /// The newest revision of them; 0 when there are none.
-    last: u64,
+    /// The newest revision among them; 0 if there are none.
+    last_revision: u64,
 }
 
-impl<V: TableRow> Default for TableNews<V> {
+impl<V: TableRow> Default for TableUpdate<V> {
     fn default() -> Self {
         Self {
             written: Vec::new(),
             removed: Vec::new(),
-            last: 0,
+            last_revision: 0,
         }
     }
 }
 
-impl<V: TableRow> TableNews<V> {
-    pub(crate) fn written(&mut self, row: V, revision: u64) {
-        self.forget(&row.key());
+impl<V: TableRow> TableUpdate<V> {
+    pub(crate) fn write(&mut self, row: V, revision: u64) {
+        self.discard(&row.key());
         self.written.push((revision, row));
-        self.last = self.last.max(revision);
+        self.last_revision = self.last_revision.max(revision);
     }
 
-    pub(crate) fn removed(&mut self, key: V::Key, revision: u64) {
-        self.forget(&key);
+    pub(crate) fn remove(&mut self, key: V::Key, revision: u64) {
+        self.discard(&key);
         self.removed.push((revision, key));
-        self.last = self.last.max(revision);
+        self.last_revision = self.last_revision.max(revision);
     }
 
-    fn forget(&mut self, key: &V::Key) {
+    fn discard(&mut self, key: &V::Key) {
         self.removed.retain(|(_, known)| known != key);
         self.written.retain(|(_, row)| row.key() != *key);
     }
 
-    /// Applies the news; `None` where there is nothing newer than the table.
+    /// Applies the changes. Returns `None` if none is newer than the table.
     pub(crate) fn apply(
         self,
         index: &mut TableIndex<V::Key>,
         rows: &mut Arc<Vec<V>>,
     ) -> Option<Result<Vec<RowChange<V>>, TableError>> {
-        if self.last <= index.head().revision {
+        if self.last_revision <= index.head().revision {
             return None;
         }
         let rows = Arc::make_mut(rows);
-        let delta = index.delta_of(rows, self.written, self.removed, self.last);
+        let delta = index.delta_of(rows, self.written, self.removed, self.last_revision);
         Some(index.apply(rows, delta))
     }
 }
 
-/// Makes a table what a list of the store holds; a row that the list lacks is gone.
+/// Replaces the rows of a table by those of a store list; rows that the list lacks are removed.
 pub(crate) fn replace_rows<V: TableRow>(
     index: &mut TableIndex<V::Key>,
     rows: &mut Arc<Vec<V>>,
--- a/crates/catalog/tests/all/main.rs
+++ b/crates/catalog/tests/all/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the catalog and of how it spreads.
+//! Tests of the catalog and its distribution.
 
-mod keeper;
 mod member;
 mod readers;
 mod stops;
 mod support;
+mod tables;
 mod zones;
--- a/crates/catalog/tests/all/member.rs
+++ b/crates/catalog/tests/all/member.rs
@@ -1,4 +1,4 @@
-//! How a group of balancers keeps up with the store.
+//! Tests of how a group of balancers follows the store.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use lovagelatch_domain::Moment;
 use smallvec::smallvec;
 
-use crate::support::{FakeStore, Group, READER_TROUBLES, address, config, target};
+use crate::support::{FakeStore, Group, READER_FAULTS, address, config, target};
 
-/// What the users allow for a configuration to come into force.
+/// The time that the users allow for a configuration to come into force.
 const APPLY_LIMIT: Duration = Duration::from_secs(3);
 
 fn settled(count: u8) -> Group {
@@ -32,25 +32,25 @@
 }
 
 #[test]
-fn two_read_for_all() {
+fn two_balancers_read_for_all() {
     let mut group = settled(8);
     assert_eq!(group.readers().len(), 2);
     let before = group.store.calls;
     group.run(Duration::from_secs(30));
-    // One waits 1.5 s a call, the other 5 s.
+    // One reader waits 1.5 s per call, the other 5 s.
     let calls = group.store.calls - before;
     assert!((20..=30).contains(&calls), "{calls} calls in 30 s");
 }
 
-// Symptom: a balancer sends flows by an old configuration. Sequence: the balancers that read the
-// store die, or are cut off from it or from the others; the operator changes something. Cause:
-// the others waited for heads that nobody sent.
+// Symptom: a balancer sends flows by an old configuration. Sequence: the elected readers die, or
+// are cut off from the store or from the other balancers; the operator changes something. Cause:
+// the others waited for heads that no balancer sent.
 #[test]
 fn a_change_is_in_force_in_time_whatever_happens_to_the_readers() {
-    for case in READER_TROUBLES {
+    for case in READER_FAULTS {
         let mut group = settled(8);
         let readers = group.readers();
-        (case.strike)(&mut group, &readers);
+        (case.inject)(&mut group, &readers);
         group.change(4);
         group.run(APPLY_LIMIT - Duration::from_millis(200));
         let late = group
@@ -58,16 +58,16 @@
             .iter()
             .filter(|version| **version != 4)
             .count();
-        // Whoever is cut off from the store and its peers' news cannot know.
+        // A balancer that is cut off from both the store and its peers cannot know.
         assert_eq!(late, 0, "{}: {:?}", case.name, group.versions());
     }
 }
 
-// Symptom: every few seconds changes come two seconds late. Sequence: both readers are cut off from
-// the store for long; others take over; the readers offer themselves again and the others step
-// back. Cause: they offered themselves without having reached the store.
+// Symptom: every few seconds, changes arrive two seconds late. Sequence: both readers are cut off
+// from the store for a long time; others take over; the readers become candidates again and the
+// others step back. Cause: they became candidates without having reached the store.
 #[test]
-fn readers_that_stay_cut_off_do_not_come_back() {
+fn readers_that_stay_cut_off_are_not_elected_again() {
     let mut group = settled(8);
     for reader in group.readers() {
         group.node(reader).store_cut = true;
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn a_fresh_balancer_is_told_by_the_others() {
+fn a_new_balancer_gets_the_catalog_from_its_peers() {
     let mut group = settled(4);
-    group.refusal = Some(StoreFailure::Refused);
+    group.failure = Some(StoreFailure::Refused);
     group.add(9);
     group.run(Duration::from_secs(1));
     assert_eq!(group.node(9).catalog.version.0, 1);
@@ -97,7 +97,7 @@
 
 fn fresh_member(number: u8, now: Moment) -> CatalogMember {
     let settings = MemberSettings {
-        own: address(number),
+        gossip: address(number),
         seeds: smallvec![address(1), address(2)],
     };
     CatalogMember::new(settings, number.into(), now)
@@ -119,11 +119,11 @@
     heads.collect()
 }
 
-// Symptom: after a loss of power nobody is served for a quarter of a second in which all processes
-// run and the store answers. Sequence: every process is new; each waits some milliseconds for a
-// word of another one. Cause: the end of that wait was noticed by the next tick only.
+// Symptom: after a power loss, nothing is served for a quarter of a second in which all processes
+// run and the store answers. Sequence: every process is new; each waits some milliseconds to hear
+// another one. Cause: the end of that wait was noticed only by the next tick.
 #[test]
-fn a_fresh_balancer_calls_the_store_within_twenty_milliseconds() {
+fn a_new_balancer_calls_the_store_within_twenty_milliseconds() {
     let start = Moment::from_millis(1_000);
     for number in 1..=50 {
         let mut member = fresh_member(number, start);
@@ -131,7 +131,7 @@
         let due = member.next_due(start).expect("a first call");
         assert!(due.since(start) <= Duration::from_millis(20));
         assert_eq!(calls(&member.advance(due)), [StoreCall::List]);
-        let next = member.next_due(due).expect("a greeting");
+        let next = member.next_due(due).expect("a head");
         assert!(
             calls(&member.advance(next)).is_empty(),
             "one call at a time"
@@ -147,87 +147,87 @@
     }
 }
 
-// Symptom: a second after a loss of power some balancers still take no flow for lost. Sequence: all start
-// at once, those that the settings name last; the others greeted them before they ran, and then
-// waited half a second, put off again by each change of the catalog. Cause: a greeting that nobody
-// heard was repeated like regular news.
+// Symptom: a second after a power loss, some balancers still treat no flow as lost. Sequence: all
+// start at once, the configured seeds last; the others sent them heads before they ran, and then
+// waited half a second, prolonged by each change of the catalog. Cause: a discovery head without an
+// answer was repeated at the regular interval.
 #[test]
-fn a_balancer_greets_its_seeds_until_one_answers() {
+fn a_balancer_contacts_its_seeds_until_one_answers() {
     let start = Moment::from_millis(1_000);
     let mut early = fresh_member(3, start);
-    let (mut now, mut greetings) = (start, 0);
+    let (mut now, mut heads) = (start, 0);
     while now.since(start) < Duration::from_millis(400) {
         let actions = early.advance(now);
-        greetings += heads_to(&actions, address(1)).len();
-        now = early.next_due(now).expect("a greeting or a call");
+        heads += heads_to(&actions, address(1)).len();
+        now = early.next_due(now).expect("a head or a call");
     }
-    assert_eq!(greetings, 8);
-    // The one who starts late greets nobody but other seeds.
+    assert_eq!(heads, 8);
+    // The seed that starts late sends heads only to other seeds.
     let mut seed = fresh_member(1, now);
-    let hello = heads_to(&early.advance(now), address(1));
-    let answers = heads_to(&seed.accept(hello[0].clone(), now), address(3));
+    let discovery = heads_to(&early.advance(now), address(1));
+    let answers = heads_to(&seed.accept(discovery[0].clone(), now), address(3));
     early.accept(answers[0].clone(), now);
     assert!(early.is_informed(now) && seed.is_informed(now));
-    // From the next one on it sends regular heads only.
+    // After the next head, it sends regular heads only.
     let after = |millis| now + Duration::from_millis(millis);
     let regular =
         [50, 100, 300, 549].map(|at| heads_to(&early.advance(after(at)), address(1)).len());
     assert_eq!(regular, [1, 0, 0, 0]);
 }
 
-// Symptom: two thirds of a quiet day's calls to the store are made in the first second. Sequence: the
-// balancers start before the operator writes the first configuration; each list brings nothing and is
-// answered at once. Cause: without a configuration each answer led to another list.
+// Symptom: two thirds of the store calls of a quiet day are made in the first second. Sequence: the
+// balancers start before the operator writes the first configuration; each list is empty and is
+// answered at once. Cause: without a configuration, each answer led to another list.
 #[test]
 fn a_store_without_a_configuration_is_watched() {
     let mut group = Group::new(4);
     group.store = FakeStore::default();
     group.store.revision = 1;
     group.run(Duration::from_secs(5));
-    // A list each, then watches of 1.5 s and more.
+    // One list each, then watches of 1.5 s and more.
     assert!(group.store.calls <= 20, "{} calls", group.store.calls);
     group.store.write(StoreEvent::Config(config(1, &[80])));
     group.run(Duration::from_millis(300));
     assert_eq!(group.versions(), [1; 4]);
 }
 
-// Symptom: for half a second after a loss of power no lost flow is told. Sequence: all balancers start
-// at once; each tells its seeds that it is there. Cause: whoever was told said nothing back, so each
-// waited for the other's next regular word to know whether the store had been in trouble.
+// Symptom: for half a second after a power loss, no lost flow is reported. Sequence: all balancers
+// start at once; each sends heads to its seeds. Cause: the receiver sent no reply, so each waited
+// for the regular head of the other to know whether the store had failed.
 #[test]
 fn balancers_that_start_together_answer_each_other_once() {
     let start = Moment::from_millis(1_000);
     let (mut one, mut two) = (fresh_member(1, start), fresh_member(2, start));
     let to_two = heads_to(&one.advance(start), address(2));
-    let [hello] = to_two.as_slice() else {
+    let [discovery] = to_two.as_slice() else {
         panic!("{to_two:?}");
     };
-    let answers = heads_to(&two.accept(hello.clone(), start), address(1));
+    let answers = heads_to(&two.accept(discovery.clone(), start), address(1));
     let [answer] = answers.as_slice() else {
         panic!("{answers:?}");
     };
     assert!(!one.is_informed(start));
-    let thanks = heads_to(&one.accept(answer.clone(), start), address(2));
+    let replies = heads_to(&one.accept(answer.clone(), start), address(2));
     assert!(one.is_informed(start) && two.is_informed(start));
-    assert!(thanks.is_empty(), "{thanks:?}");
+    assert!(replies.is_empty(), "{replies:?}");
 }
 
 #[test]
 fn a_balancer_that_knows_nothing_is_not_ready() {
     let mut group = Group::new(1);
-    group.refusal = Some(StoreFailure::Unanswered);
+    group.failure = Some(StoreFailure::Unanswered);
     group.run(Duration::from_secs(10));
     assert!(!group.node(1).member.is_ready());
-    group.refusal = None;
+    group.failure = None;
     group.run(Duration::from_secs(2));
     assert!(group.node(1).member.is_ready());
 }
 
-// Symptom: a target that left gets flows for ever. Sequence: the store drops its history while a
-// target leaves; the watch is answered that its history is gone. Cause: the watch went on from the
-// newest revision and never heard of the removal.
+// Symptom: a removed target gets flows forever. Sequence: the store drops its history while a
+// target leaves; the watch fails because its history is gone. Cause: the watch continued from the
+// newest revision and missed the removal.
 #[test]
-fn a_lost_history_is_read_anew() {
+fn a_lost_history_leads_to_a_new_list() {
     let mut group = settled(4);
     group.store.write(StoreEvent::Target(target("i-2")));
     group.run(Duration::from_secs(2));
@@ -268,35 +268,34 @@
     );
 }
 
-// Symptom: after a power loss during an outage of the store, nobody is served for up to a second
-// after the store is back. Sequence: all balancers start while it is away; each waits longer and
-// longer between its calls. Cause: the pause of one that has a catalog to serve with was kept by
-// one that has nothing.
+// Symptom: after a power loss during an outage of the store, nothing is served for up to a second
+// after the store is back. Sequence: all balancers start during the outage; the backoff of each
+// grows. Cause: a balancer without a catalog used the backoff of one that can serve.
 #[test]
-fn balancers_without_a_catalog_notice_at_once_that_the_store_is_back() {
+fn balancers_without_a_catalog_notice_the_recovery_of_the_store_at_once() {
     let mut group = Group::new(8);
-    group.refusal = Some(StoreFailure::Unanswered);
+    group.failure = Some(StoreFailure::Unanswered);
     group.run(Duration::from_secs(5));
     let before = group.store.calls;
     group.run(Duration::from_secs(2));
     let calls = group.store.calls - before;
     assert!(calls <= 50, "{calls} calls in 2 s of 8 balancers");
-    group.refusal = None;
+    group.failure = None;
     group.run(Duration::from_millis(450));
     assert!(group.nodes.values().all(|node| node.member.is_ready()));
 }
 
-// Symptom: the store's bill rises while it is down. Sequence: it turns everybody away; everybody
-// asks again at once. Cause: refused calls are counted like others.
+// Symptom: the charges for the store rise while it is down. Sequence: it refuses all calls; every
+// balancer retries at once. Cause: refused calls are charged like others.
 #[test]
-fn a_store_that_refuses_is_not_pressed() {
+fn a_store_that_refuses_calls_is_not_overloaded() {
     let mut group = settled(8);
     let before = group.store.calls;
-    group.refusal = Some(StoreFailure::Refused);
+    group.failure = Some(StoreFailure::Refused);
     group.run(Duration::from_secs(10));
     let calls = group.store.calls - before;
     assert!(calls <= 80, "{calls} calls in 10 s of 8 balancers");
-    group.refusal = None;
+    group.failure = None;
     group.change(4);
     group.run(Duration::from_millis(1_500));
     assert!(
@@ -307,65 +306,79 @@
 }
 
 #[test]
-fn trouble_and_recovery_of_the_store_are_told_once() {
+fn failure_and_recovery_of_the_store_are_reported_once() {
     let mut group = settled(1);
     group.node(1).notices.clear();
-    group.refusal = Some(StoreFailure::Refused);
+    group.failure = Some(StoreFailure::Refused);
     group.run(Duration::from_secs(5));
-    group.refusal = None;
+    group.failure = None;
     group.run(Duration::from_secs(5));
     let notices = &group.node(1).notices;
-    let lost = CatalogNotice::StoreLost(StoreFailure::Refused);
-    assert_eq!(notices.iter().filter(|notice| **notice == lost).count(), 1);
-    let regained = CatalogNotice::StoreRegained;
+    let failed = CatalogNotice::StoreFailed(StoreFailure::Refused);
     assert_eq!(
-        notices.iter().filter(|notice| **notice == regained).count(),
+        notices.iter().filter(|notice| **notice == failed).count(),
+        1
+    );
+    let recovered = CatalogNotice::StoreRecovered;
+    assert_eq!(
+        notices
+            .iter()
+            .filter(|notice| **notice == recovered)
+            .count(),
         1
     );
 }
 
-// Symptom: a fresh balancer resets flows whose targets live. Sequence: the store comes back from an
-// outage without the entries that expired; a balancer starts and reads that list. Cause: it could
-// not know of the trouble.
+// Symptom: a new balancer resets flows whose targets are alive. Sequence: the store recovers from
+// an outage without the entries that expired; a balancer starts and lists it. Cause: it could not
+// know of the outage.
 #[test]
-fn a_fresh_balancer_hears_of_the_stores_trouble() {
+fn a_new_balancer_learns_of_an_earlier_store_failure() {
     let mut group = settled(3);
-    group.refusal = Some(StoreFailure::Unanswered);
+    group.failure = Some(StoreFailure::Unanswered);
     group.run(Duration::from_secs(4));
-    group.refusal = None;
+    group.failure = None;
     group.add(9);
     group.run(Duration::from_secs(1));
     let now = group.now;
-    let trouble = group.node(9).member.trouble().expect("it was told");
-    assert!(now.since(trouble) < Duration::from_secs(3));
+    let failure = group
+        .node(9)
+        .member
+        .last_store_failure()
+        .expect("a failure");
+    assert!(now.since(failure) < Duration::from_secs(3));
 }
 
 #[test]
-fn the_stores_return_is_its_first_answer_after_the_last_trouble() {
+fn the_store_recovers_with_its_first_answer_after_the_last_failure() {
     let start = Moment::from_millis(1_000);
     let at = |millis| start + Duration::from_millis(millis);
     let mut member = fresh_member(1, start);
     let list = StoreCall::List;
     let answer = || Ok(StoreAnswer::default());
     member.store_answered(list, answer(), at(10));
-    assert_eq!(member.returned(), None, "there was no trouble");
+    assert_eq!(member.store_recovered_at(), None, "there was no failure");
     member.store_answered(list, Err(StoreFailure::Refused), at(100));
-    assert_eq!(member.returned(), None);
+    assert_eq!(member.store_recovered_at(), None);
     member.store_answered(list, answer(), at(300));
     member.store_answered(list, answer(), at(900));
-    assert_eq!(member.returned(), Some(at(300)), "the first, not the last");
+    assert_eq!(
+        member.store_recovered_at(),
+        Some(at(300)),
+        "the first, not the last"
+    );
     member.store_answered(list, Err(StoreFailure::Unanswered), at(1_000));
-    assert_eq!(member.returned(), None);
-    // Another balancer that holds the same says when the store answered it.
+    assert_eq!(member.store_recovered_at(), None);
+    // A balancer with the same state reports when the store answered it.
     let mut other = fresh_member(2, start);
     other.store_answered(list, answer(), at(1_500));
     let head = heads_to(&other.advance(at(1_700)), address(1));
     member.accept(head[0].clone(), at(1_700));
-    assert_eq!(member.returned(), Some(at(1_500)));
+    assert_eq!(member.store_recovered_at(), Some(at(1_500)));
 }
 
 #[test]
-fn a_fresh_balancer_is_informed_by_a_word_or_by_time() {
+fn a_new_balancer_is_informed_by_a_message_or_by_timeout() {
     let mut group = settled(2);
     group.add(9);
     let now = group.now;
@@ -383,36 +396,38 @@
 }
 
 #[test]
-fn news_name_who_told_them() {
+fn notices_name_the_source_of_a_change() {
     let mut group = settled(8);
     group.change(4);
     group.run(Duration::from_secs(1));
     let readers = group.readers();
     for (at, node) in &group.nodes {
-        let told = node.notices.iter().rev().find_map(|notice| match notice {
-            CatalogNotice::Taken { from, .. } => Some(*from),
+        let source = node.notices.iter().rev().find_map(|notice| match notice {
+            CatalogNotice::Applied { from, .. } => Some(*from),
             _ => None,
         });
-        let told = told.expect("it took the change");
+        let source = source.expect("it took the change");
         if !readers.contains(&at.ip().octets()[3]) {
-            assert!(told.is_some_and(|from| from != *at && from.port() == address(1).port()));
+            assert!(source.is_some_and(|from| from != *at && from.port() == address(1).port()));
         }
     }
 }
 
 struct OverdueCase {
     name: &'static str,
-    /// When another balancer tells of an answer of the store, in milliseconds after the watch began.
+    /// When another balancer reports an answer of the store, in milliseconds after the start of the
+    /// watch.
     answered: Option<u64>,
-    /// When the watch fails.
+    /// When the watch fails, in milliseconds after its start.
     fails: u64,
-    /// The trouble that is known then.
+    /// The expected time of the last store failure, in milliseconds after the start of the watch.
     expected: u64,
 }
 
-/// Guards against a store that counts as away until an old watch is overdue, though it has answered others since.
+/// Guards against a store that counts as failing until an old watch is overdue, although it has
+/// answered others since.
 #[test]
-fn an_overdue_watch_shows_no_trouble_after_the_stores_later_answers() {
+fn an_overdue_watch_shows_no_failure_after_later_answers_of_the_store() {
     let cases = [
         OverdueCase {
             name: "the store has answered others since",
@@ -421,7 +436,7 @@
             expected: 0,
         },
         OverdueCase {
-            name: "nobody was answered since",
+            name: "the store has answered no other balancer since",
             answered: None,
             fails: 5_700,
             expected: 5_700,
@@ -435,20 +450,20 @@
     ];
     for case in cases {
         let mut group = Group::settled(1, Duration::from_secs(2));
-        let began = group.now + Duration::from_secs(10);
+        let started = group.now + Duration::from_secs(10);
         let member = &mut group.node(1).member;
-        let head = member.status(began).head;
-        // The watch that is under way ends, and the next one begins.
+        let head = member.status(started).head;
+        // The watch in flight ends, and the next one starts.
         let wait = Duration::from_millis(1_500);
         let ended = StoreCall::Watch { after: 0, wait };
         let answer = StoreAnswer {
             events: Vec::new(),
             revision: head.routes.revision,
         };
-        let actions = member.store_answered(ended, Ok(answer), began);
+        let actions = member.store_answered(ended, Ok(answer), started);
         let call = calls(&actions)[0];
         if let Some(answered) = case.answered {
-            let at = began + Duration::from_millis(answered);
+            let at = started + Duration::from_millis(answered);
             let message = HeadMessage {
                 sender: address(2),
                 head,
@@ -461,14 +476,14 @@
             };
             member.accept(CatalogMessage::Head(message), at);
         }
-        let now = began + Duration::from_millis(case.fails);
+        let now = started + Duration::from_millis(case.fails);
         member.store_answered(call, Err(StoreFailure::Unanswered), now);
-        let expected = began + Duration::from_millis(case.expected);
-        assert_eq!(member.trouble(), Some(expected), "{}", case.name);
+        let expected = started + Duration::from_millis(case.expected);
+        assert_eq!(member.last_store_failure(), Some(expected), "{}", case.name);
     }
 }
 
-struct TouchCase {
+struct CutOffCase {
     name: &'static str,
     balancers: u8,
     store_cut: bool,
@@ -476,39 +491,40 @@
     expected: bool,
 }
 
-/// Guards against a balancer that goes on vouching for zones when it can hear of no evacuation any more.
+/// Guards against a balancer that still vouches for zones when it can no longer learn of an
+/// evacuation.
 #[test]
-fn a_balancer_that_hears_neither_the_store_nor_another_knows_that_it_is_cut_off() {
+fn a_balancer_that_hears_neither_the_store_nor_a_peer_is_cut_off() {
     let cases = [
-        TouchCase {
-            name: "in touch with both",
+        CutOffCase {
+            name: "connected to both",
             balancers: 4,
             store_cut: false,
             peers_cut: false,
             expected: false,
         },
-        TouchCase {
-            name: "the others tell it of the store",
+        CutOffCase {
+            name: "the others relay confirmations of the store",
             balancers: 4,
             store_cut: true,
             peers_cut: false,
             expected: false,
         },
-        TouchCase {
+        CutOffCase {
             name: "it reads the store itself",
             balancers: 4,
             store_cut: false,
             peers_cut: true,
             expected: false,
         },
-        TouchCase {
+        CutOffCase {
             name: "cut off from both",
             balancers: 4,
             store_cut: true,
             peers_cut: true,
             expected: true,
         },
-        TouchCase {
+        CutOffCase {
             name: "there is no other",
             balancers: 1,
             store_cut: true,
@@ -528,7 +544,7 @@
         let now = group.now;
         let cut_off = group.node(own).member.is_cut_off(now);
         assert_eq!(cut_off, case.expected, "{}", case.name);
-        // It is over as soon as either speaks again.
+        // It ends as soon as the store or another balancer is heard again.
         group.node(own).store_cut = false;
         group.node(own).peers_cut = false;
         group.run(Duration::from_secs(2));
--- a/crates/catalog/tests/all/readers.rs
+++ b/crates/catalog/tests/all/readers.rs
@@ -1,7 +1,7 @@
-//! Who reads the store in fleets of any size.
+//! Tests of the reader election in fleets of any size.
 //!
-//! The load that this is for: calls to the store are counted, refused ones too, and a fleet of thousands must
-//! not make more of them than one of six.
+//! Load pattern: calls to the store are charged, including refused ones, and a fleet of thousands
+//! must not make more of them than a fleet of six.
 
 use std::time::Duration;
 
@@ -9,44 +9,44 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::support::{Group, READER_TROUBLES, address};
+use crate::support::{Group, READER_FAULTS, address};
 
-/// Sizes of fleets: heads go to all others, to some, to a few of very many.
+/// Fleet sizes in which heads go to all peers, to some, and to a few of very many.
 const SIZES: [u8; 4] = [8, 20, 59, 200];
 
-/// What the users allow a change in a fleet of hundreds of machines.
+/// The time that the users allow for a change in a fleet of hundreds of machines.
 const APPLY_LIMIT: Duration = Duration::from_secs(6);
 
 fn settled(count: u8) -> Group {
     Group::settled(count, Duration::from_secs(8))
 }
 
-// Symptom: a quiet day of 59 balancers makes 757 calls to the store, one of 6 makes 79. Sequence: heads go to three
-// others at random, so a balancer has heard only some ten in the time that one counts as alive; it finds
-// itself among the two lowest draws of those, and reads. Cause: a balancer knew of the readers only what
-// they had told it themselves.
+// Symptom: a quiet day of 59 balancers makes 757 calls to the store, one of 6 makes 79. Sequence:
+// heads go to three random peers, so within the TTL of a peer a balancer hears only some ten
+// others; it has one of the two lowest ranks among those, and reads. Cause: a balancer knew of the
+// readers only what it heard from them directly.
 #[test]
 fn calls_to_the_store_do_not_grow_with_the_fleet() {
     for count in SIZES {
         let mut group = settled(count);
         let before = group.store.calls;
         group.run(Duration::from_secs(30));
-        // One waits 1.5 s a call, the other 5 s; a third may read for a moment.
+        // One reader waits 1.5 s per call, the other 5 s; a third may read for a moment.
         let calls = group.store.calls - before;
         assert!((20..=36).contains(&calls), "{count}: {calls} calls in 30 s");
     }
 }
 
-// Symptom: a configuration is not in force in time. Sequence: both readers are gone, cut off, or turned
-// away by the store, and the operator changes something. Cause (of the mutation that this test is for): what
-// is passed on about a reader keeps it alive for longer than its own word.
+// Symptom: a configuration is not in force in time. Sequence: both readers are dead, cut off, or
+// refused by the store, and the operator changes something. Cause (of the mutation that this test
+// detects): relayed reader status keeps a reader alive for longer than its own heads.
 #[test]
-fn others_read_in_time_when_the_readers_cannot() {
-    for case in READER_TROUBLES {
+fn fallback_readers_take_over_in_time() {
+    for case in READER_FAULTS {
         for count in SIZES {
             let mut group = settled(count);
             let readers = group.readers();
-            (case.strike)(&mut group, &readers);
+            (case.inject)(&mut group, &readers);
             group.change(4);
             group.run(APPLY_LIMIT);
             let late = group.nodes.iter().filter(|(at, node)| {
@@ -59,13 +59,13 @@
     }
 }
 
-// Symptom: the store, down for a while, is called by everybody all the time. Cause (of the mutation that
-// this test is for): the lot that decides who calls beside the readers is drawn among few.
+// Symptom: all balancers call a store that is down all the time. Cause (of the mutation that this
+// test detects): the probability of becoming a fallback reader was computed from too few members.
 #[test]
 fn a_store_that_is_down_is_not_called_by_all() {
     for count in SIZES {
         let mut group = settled(count);
-        group.refusal = Some(StoreFailure::Unanswered);
+        group.failure = Some(StoreFailure::Unanswered);
         let before = group.store.calls;
         group.run(Duration::from_secs(10));
         let calls = group.store.calls - before;
@@ -74,9 +74,9 @@
     }
 }
 
-/// Each balancer's newest word of one of them, in rounds since it was said: a model of heads that go to three
-/// others at random twice a second, from which the lifetimes of such news are drawn.
-fn news_ages(count: usize, rounds: u32, random: &mut SmallRng) -> Vec<u32> {
+/// Returns the age in rounds of the newest status of one balancer at each of them. Models heads
+/// that go to three random peers twice a second; the TTLs of reader status are derived from it.
+fn status_ages(count: usize, rounds: u32, random: &mut SmallRng) -> Vec<u32> {
     let mut newest = vec![0; count];
     for round in 1..=rounds {
         newest[0] = round;
@@ -87,29 +87,30 @@
             }
         }
     }
-    newest.into_iter().map(|said| rounds - said).collect()
+    newest.into_iter().map(|sent| rounds - sent).collect()
 }
 
-struct NewsCase {
+struct SpreadCase {
     balancers: usize,
-    /// Half seconds that one balancer in a thousand may be behind.
+    /// Rounds (half seconds) that one balancer in a thousand may be behind.
     late: u32,
 }
 
-// The pattern: news of one spreads by heads. The grounds for what it shows: a word that is passed on by everybody
-// to three others reaches all in a logarithm of them; 3.5 s hold for thousands.
+// Pattern: the status of one balancer spreads by heads. A status that every balancer relays to
+// three others reaches all in a number of rounds that is logarithmic in the fleet size; 3.5 s
+// suffice for thousands.
 #[test]
-fn news_of_a_reader_is_young_in_fleets_of_thousands() {
+fn reader_status_is_recent_in_fleets_of_thousands() {
     let cases = [
-        NewsCase {
+        SpreadCase {
             balancers: 60,
             late: 5,
         },
-        NewsCase {
+        SpreadCase {
             balancers: 1_000,
             late: 6,
         },
-        NewsCase {
+        SpreadCase {
             balancers: 4_000,
             late: 7,
         },
@@ -117,7 +118,7 @@
     let mut random = SmallRng::seed_from_u64(7);
     for case in cases {
         let mut ages: Vec<u32> = (0..20)
-            .flat_map(|_| news_ages(case.balancers, 30, &mut random))
+            .flat_map(|_| status_ages(case.balancers, 30, &mut random))
             .collect();
         ages.sort_unstable();
         let last = ages[ages.len() - 1 - ages.len() / 1_000];
--- a/crates/catalog/tests/all/stops.rs
+++ b/crates/catalog/tests/all/stops.rs
@@ -1,18 +1,19 @@
-//! Load pattern: agents are restarted as planned, and tell only the balancers that sent to them lately.
+//! Load pattern: planned restarts of agents that notify only the balancers that sent to them
+//! recently.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
 use lovagelatch_catalog::{
-    AgentStop, CatalogAction, CatalogMember, CatalogMessage, MemberSettings, RESTART_SPAN,
+    AgentStop, CatalogAction, CatalogMember, CatalogMessage, MemberSettings, RESTART_GRACE,
 };
 use lovagelatch_domain::{AgentAddress, Moment};
 use smallvec::smallvec;
 
 use crate::support::{Group, address};
 
-/// After this much silence of an agent that said nothing open flows are reset.
-const SILENCE_SPAN: Duration = Duration::from_secs(1);
+/// Silence after which open flows of an agent without a stop announcement are reset.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn agent(number: u8) -> AgentAddress {
     AgentAddress(SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, number), 7_720))
@@ -25,14 +26,14 @@
     }
 }
 
-fn tell(group: &mut Group, balancer: u8, stops: &[AgentStop]) {
+fn announce(group: &mut Group, balancer: u8, stops: &[AgentStop]) {
     let now = group.now;
-    group.node(balancer).member.note_stops(stops, now);
+    group.node(balancer).member.record_stops(stops, now);
 }
 
 fn fresh_member(number: u8, now: Moment) -> CatalogMember {
     let settings = MemberSettings {
-        own: address(number),
+        gossip: address(number),
         seeds: smallvec![address(1)],
     };
     CatalogMember::new(settings, number.into(), now)
@@ -46,38 +47,41 @@
     messages.collect()
 }
 
-/// How many balancers other balancers have told of an agent's stop.
-fn told_count(group: &Group, number: u8) -> usize {
-    let told = group.nodes.values();
-    told.filter(|node| node.stops.iter().any(|stop| stop.agent == agent(number)))
+/// Returns the number of balancers that got the stop announcement of an agent from another
+/// balancer.
+fn informed_count(group: &Group, number: u8) -> usize {
+    let nodes = group.nodes.values();
+    nodes
+        .filter(|node| node.stops.iter().any(|stop| stop.agent == agent(number)))
         .count()
 }
 
 struct SpreadCase {
     balancers: u8,
-    /// Those whom the agent tells itself.
-    told: &'static [u8],
-    /// How many agents stop at once.
+    /// Balancers that the agent notifies itself.
+    notified: &'static [u8],
+    /// Number of agents that stop at once.
     agents: u8,
 }
 
-/// Guards against balancers that take a planned restart, which only others were told of, for a lasting silence.
+/// Guards against balancers that take a planned restart for a failure because only others were
+/// notified.
 #[test]
-fn a_stop_is_known_to_all_balancers_before_its_silence_counts() {
+fn a_stop_is_known_to_all_balancers_before_the_silence_timeout() {
     let cases = [
         SpreadCase {
             balancers: 2,
-            told: &[1],
+            notified: &[1],
             agents: 1,
         },
         SpreadCase {
             balancers: 13,
-            told: &[4],
+            notified: &[4],
             agents: 40,
         },
         SpreadCase {
             balancers: 60,
-            told: &[3, 9, 27],
+            notified: &[3, 9, 27],
             agents: 1,
         },
     ];
@@ -86,39 +90,40 @@
         let stops: Vec<_> = (1..=case.agents)
             .map(|number| stop(number, Duration::ZERO))
             .collect();
-        for &balancer in case.told {
-            tell(&mut group, balancer, &stops);
+        for &balancer in case.notified {
+            announce(&mut group, balancer, &stops);
         }
-        group.run(SILENCE_SPAN);
-        let others = usize::from(case.balancers) - case.told.len();
+        group.run(SILENCE_TIMEOUT);
+        let others = usize::from(case.balancers) - case.notified.len();
         for number in 1..=case.agents {
-            let known = told_count(&group, number);
+            let known = informed_count(&group, number);
             assert_eq!(known, others, "{} balancers", case.balancers);
         }
     }
 }
 
-/// Guards against a balancer that starts during a restart and was told nothing of it.
+/// Guards against a balancer that starts during a restart and does not learn of it.
 #[test]
-fn a_balancer_that_starts_during_a_restart_is_told_of_it() {
+fn a_balancer_that_starts_during_a_restart_learns_of_it() {
     let mut group = Group::settled(4, Duration::from_secs(3));
-    tell(&mut group, 2, &[stop(1, Duration::ZERO)]);
+    announce(&mut group, 2, &[stop(1, Duration::ZERO)]);
     group.run(Duration::from_secs(2));
     group.add(5);
     group.run(Duration::from_millis(300));
-    let told = group.node(5).stops.clone();
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert!(told[0].age >= Duration::from_secs(2), "{told:?}");
+    let received = group.node(5).stops.clone();
+    assert_eq!(received.len(), 1, "{received:?}");
+    assert!(received[0].age >= Duration::from_secs(2), "{received:?}");
 }
 
-/// Guards against a fresh balancer that takes itself to know of every stop because nobody told it of one.
+/// Guards against a new balancer that assumes that it knows of every stop because no peer reported
+/// one.
 #[test]
-fn a_balancer_knows_of_every_stop_since_its_own_start_or_that_of_one_that_told_it() {
+fn stops_are_known_since_the_start_of_the_balancer_or_of_a_reporting_peer() {
     struct CoverCase {
         name: &'static str,
         /// How long the others have run when it starts.
         others_ran: Duration,
-        /// Whether it knows of the stops before its start.
+        /// Whether it knows of all stops before its start.
         expected: bool,
     }
     let cases = [
@@ -129,7 +134,7 @@
         },
         CoverCase {
             name: "the others have run for longer than a restart takes",
-            others_ran: RESTART_SPAN * 2,
+            others_ran: RESTART_GRACE * 2,
             expected: true,
         },
     ];
@@ -139,108 +144,109 @@
         group.add(5);
         let start = group.now;
         group.run(Duration::from_millis(400));
-        let since = group.node(5).member.stops_since();
+        let since = group.node(5).member.stops_known_since();
         assert_eq!(since < start, case.expected, "{}", case.name);
     }
 }
 
-/// Guards against a fresh balancer that takes a part of what another one knows for all of it.
+/// Guards against a new balancer that takes a partial report of stops for a complete one.
 #[test]
-fn what_is_passed_on_covers_no_stop_that_it_does_not_name() {
+fn an_update_covers_no_stop_that_it_does_not_list() {
     struct PartCase {
         name: &'static str,
-        /// How many agents stop, one each 10 ms.
+        /// Number of agents that stop, one every 10 ms.
         agents: u8,
-        /// Whether the word is the answer to a balancer that has just started.
-        greeted: bool,
-        /// Whether it covers the stops before those that it names.
+        /// Whether the update is the reply to a balancer that has just started.
+        replies: bool,
+        /// Whether it covers the stops before those that it lists.
         expected: bool,
     }
     let cases = [
         PartCase {
-            name: "passed on",
+            name: "relayed",
             agents: 1,
-            greeted: false,
+            replies: false,
             expected: false,
         },
         PartCase {
             name: "all of them",
             agents: 40,
-            greeted: true,
+            replies: true,
             expected: true,
         },
         PartCase {
-            name: "more than a message takes",
+            name: "more than fit a message",
             agents: 200,
-            greeted: true,
+            replies: true,
             expected: false,
         },
     ];
     for case in cases {
-        let mut group = Group::settled(2, RESTART_SPAN * 2);
+        let mut group = Group::settled(2, RESTART_GRACE * 2);
         for number in 1..=case.agents {
-            tell(&mut group, 1, &[stop(number, Duration::ZERO)]);
+            announce(&mut group, 1, &[stop(number, Duration::ZERO)]);
             group.now = group.now + Duration::from_millis(10);
         }
         let now = group.now;
         let one = &mut group.node(1).member;
-        let actions = if case.greeted {
+        let actions = if case.replies {
             let mut fresh = fresh_member(3, now);
-            let hello = sent_to(&fresh.advance(now), 1).remove(0);
-            one.accept(hello, now)
+            let discovery = sent_to(&fresh.advance(now), 1).remove(0);
+            one.accept(discovery, now)
         } else {
             one.advance(now)
         };
-        let told = sent_to(&actions, if case.greeted { 3 } else { 2 });
-        let news = told.iter().find_map(|message| match message {
-            CatalogMessage::Stops(news) => Some(news),
+        let sent = sent_to(&actions, if case.replies { 3 } else { 2 });
+        let update = sent.iter().find_map(|message| match message {
+            CatalogMessage::Stops(update) => Some(update),
             _ => None,
         });
-        let covers = news.expect("a word").covers;
-        assert_eq!(covers >= RESTART_SPAN, case.expected, "{}", case.name);
+        let covers = update.expect("an update").covers;
+        assert_eq!(covers >= RESTART_GRACE, case.expected, "{}", case.name);
     }
 }
 
-/// Guards against a word that is passed on for ever, and against a late one that hides a lasting silence.
+/// Guards against an announcement that is relayed forever, and against a late one that hides a
+/// failure.
 #[test]
-fn a_stop_is_passed_on_once_and_not_after_its_time() {
+fn a_stop_is_relayed_once_and_not_after_the_restart_grace() {
     struct LateCase {
         name: &'static str,
-        /// How old the word is when it is told.
+        /// Age of the announcement when it is recorded.
         age: Duration,
-        /// Whether the same word comes again, a little older.
-        again: bool,
+        /// Whether the same announcement is repeated, a little older.
+        repeated: bool,
         expected: usize,
     }
     let cases = [
         LateCase {
             name: "new",
             age: Duration::ZERO,
-            again: false,
+            repeated: false,
             expected: 1,
         },
         LateCase {
-            name: "said again while the agent stops",
+            name: "repeated while the agent stops",
             age: Duration::ZERO,
-            again: true,
+            repeated: true,
             expected: 1,
         },
         LateCase {
             name: "as old as a restart may take",
-            age: RESTART_SPAN,
-            again: false,
+            age: RESTART_GRACE,
+            repeated: false,
             expected: 0,
         },
     ];
     for case in cases {
         let mut group = Group::settled(3, Duration::from_secs(3));
-        tell(&mut group, 1, &[stop(1, case.age)]);
-        if case.again {
+        announce(&mut group, 1, &[stop(1, case.age)]);
+        if case.repeated {
             group.run(Duration::from_millis(250));
-            tell(&mut group, 1, &[stop(1, Duration::ZERO)]);
+            announce(&mut group, 1, &[stop(1, Duration::ZERO)]);
         }
-        group.run(RESTART_SPAN * 2);
-        let told = group.node(2).stops.len();
-        assert_eq!(told, case.expected, "{}", case.name);
+        group.run(RESTART_GRACE * 2);
+        let received = group.node(2).stops.len();
+        assert_eq!(received, case.expected, "{}", case.name);
     }
 }
--- a/crates/catalog/tests/all/support.rs
+++ b/crates/catalog/tests/all/support.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// A store that holds everything it was ever told.
+/// A store that keeps its full history.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FakeStore {
     pub(crate) revision: u64,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The answer to a call; `None` while a watch waits.
+    /// Returns the answer to a call; `None` while a watch waits.
     fn answer(&self, call: StoreCall) -> Option<Result<StoreAnswer, StoreFailure>> {
         let StoreCall::Watch { after, .. } = call else {
             return Some(Ok(self.list()));
@@ -119,11 +119,11 @@
     pub(crate) member: CatalogMember,
     pub(crate) catalog: Catalog,
     pub(crate) notices: Vec<CatalogNotice>,
-    /// The agents that stop, as other balancers told.
+    /// Stop announcements that other balancers relayed.
     pub(crate) stops: Vec<AgentStop>,
     outstanding: Option<(StoreCall, Moment)>,
     pub(crate) calls: u64,
-    /// Cut off from the store: calls get no answer.
+    /// Cut off from the store: its calls get no answer.
     pub(crate) store_cut: bool,
     /// Cut off from the other balancers.
     pub(crate) peers_cut: bool,
@@ -131,41 +131,41 @@
     pub(crate) stopped: bool,
 }
 
-/// Something that breaks the readers.
-pub(crate) struct ReaderTrouble {
+/// A fault that hits the readers.
+pub(crate) struct ReaderFault {
     pub(crate) name: &'static str,
-    pub(crate) strike: fn(&mut Group, &[u8]),
+    pub(crate) inject: fn(&mut Group, &[u8]),
 }
 
-/// What may happen to all readers at once.
-pub(crate) const READER_TROUBLES: [ReaderTrouble; 4] = [
-    ReaderTrouble {
+/// Faults that hit all readers at once.
+pub(crate) const READER_FAULTS: [ReaderFault; 4] = [
+    ReaderFault {
         name: "the readers die",
-        strike: |group, readers| {
+        inject: |group, readers| {
             for &reader in readers {
                 group.node(reader).stopped = true;
             }
         },
     },
-    ReaderTrouble {
+    ReaderFault {
         name: "the readers are cut off from the store",
-        strike: |group, readers| {
+        inject: |group, readers| {
             for &reader in readers {
                 group.node(reader).store_cut = true;
             }
         },
     },
-    ReaderTrouble {
+    ReaderFault {
         name: "the readers are cut off from the other balancers",
-        strike: |group, readers| {
+        inject: |group, readers| {
             for &reader in readers {
                 group.node(reader).peers_cut = true;
             }
         },
     },
-    ReaderTrouble {
+    ReaderFault {
         name: "one dies, the other is cut off from the store",
-        strike: |group, readers| {
+        inject: |group, readers| {
             group.node(readers[0]).stopped = true;
             group.node(readers[1]).store_cut = true;
         },
@@ -177,9 +177,9 @@
     pub(crate) store: FakeStore,
     pub(crate) nodes: BTreeMap<SocketAddrV4, Node>,
     pub(crate) now: Moment,
-    /// What the store answers to everybody, instead of what it holds.
-    pub(crate) refusal: Option<StoreFailure>,
-    /// Messages longer than a datagram go by stream, as between real processes.
+    /// A failure that the store answers to every call.
+    pub(crate) failure: Option<StoreFailure>,
+    /// Whether answers exceed a datagram and go over a stream, as between real processes.
     pub(crate) large: bool,
 }
 
@@ -189,7 +189,7 @@
             store: FakeStore::default(),
             nodes: BTreeMap::new(),
             now: Moment::from_millis(1_000),
-            refusal: None,
+            failure: None,
             large: false,
         };
         group.store.write(StoreEvent::Config(config(1, &[80])));
@@ -200,7 +200,8 @@
         group
     }
 
-    /// A group whose balancers all hold the first configuration after `span`.
+    /// Creates a group and runs it for `span`, after which all balancers hold the first
+    /// configuration.
     pub(crate) fn settled(count: u8, span: Duration) -> Self {
         let mut group = Self::new(count);
         group.run(span);
@@ -208,13 +209,13 @@
         group
     }
 
-    /// The operator writes another configuration.
+    /// Writes another configuration.
     pub(crate) fn change(&mut self, version: u64) {
         let config = config(version, &[80, 81]);
         self.store.write(StoreEvent::Config(config));
     }
 
-    /// The operator evacuates a zone, or takes it back.
+    /// Starts or ends the evacuation of a zone.
     pub(crate) fn set_evacuated(&mut self, zone: &str, evacuated: bool) {
         let zone = zone.parse().expect("a zone");
         self.store.write(if evacuated {
@@ -224,7 +225,8 @@
         });
     }
 
-    /// The zones that each running balancer takes to be evacuated; `None` where it does not know.
+    /// Returns the zones that each running balancer considers evacuated; `None` where it does not
+    /// know.
     pub(crate) fn evacuated(&self) -> Vec<Option<Vec<String>>> {
         let running = self.nodes.values().filter(|node| !node.stopped);
         let zones = running.map(|node| {
@@ -235,7 +237,7 @@
         zones.collect()
     }
 
-    /// The running balancers that read the store for all.
+    /// Returns the running balancers that are elected readers.
     pub(crate) fn readers(&self) -> Vec<u8> {
         let nodes = self.nodes.iter();
         let reading =
@@ -247,7 +249,7 @@
 
     pub(crate) fn add(&mut self, number: u8) {
         let settings = MemberSettings {
-            own: address(number),
+            gossip: address(number),
             seeds: smallvec![address(1), address(2)],
         };
         let node = Node {
@@ -286,7 +288,7 @@
             let now = self.now;
             let node = self.nodes.get_mut(&at).expect("a node");
             let actions = node.member.advance(now);
-            self.carry_out(at, actions);
+            self.execute(at, actions);
         }
     }
 
@@ -300,7 +302,7 @@
             StoreCall::Watch { wait, .. } => wait,
             StoreCall::List => Duration::ZERO,
         };
-        let outcome = match (node.store_cut, self.refusal) {
+        let outcome = match (node.store_cut, self.failure) {
             (true, _) if now.since(since) < limit + Duration::from_millis(700) => return,
             (true, _) => Err(StoreFailure::Unanswered),
             (false, Some(failure)) => Err(failure),
@@ -315,10 +317,10 @@
         };
         node.outstanding = None;
         let actions = node.member.store_answered(call, outcome, now);
-        self.carry_out(at, actions);
+        self.execute(at, actions);
     }
 
-    fn carry_out(&mut self, at: SocketAddrV4, actions: Vec<CatalogAction>) {
+    fn execute(&mut self, at: SocketAddrV4, actions: Vec<CatalogAction>) {
         for action in actions {
             match action {
                 CatalogAction::Send { to, message } => self.deliver(at, to, message),
@@ -333,7 +335,7 @@
                 CatalogAction::Publish { catalog, .. } => {
                     self.nodes.get_mut(&at).expect("a node").catalog = catalog;
                 }
-                CatalogAction::TakeStops(stops) => {
+                CatalogAction::RecordStops(stops) => {
                     let node = self.nodes.get_mut(&at).expect("a node");
                     node.stops.extend(stops);
                 }
@@ -348,13 +350,13 @@
         }
     }
 
-    fn connected(&self, at: SocketAddrV4, to: SocketAddrV4) -> bool {
+    fn are_connected(&self, at: SocketAddrV4, to: SocketAddrV4) -> bool {
         let is_up = |node: &Node| !node.stopped && !node.peers_cut;
         is_up(&self.nodes[&at]) && self.nodes.get(&to).is_some_and(is_up)
     }
 
     fn deliver(&mut self, at: SocketAddrV4, to: SocketAddrV4, message: CatalogMessage) {
-        if !self.connected(at, to) {
+        if !self.are_connected(at, to) {
             return;
         }
         let large = self.large && matches!(message, CatalogMessage::Answer { .. });
@@ -366,24 +368,24 @@
         let now = self.now;
         let node = self.nodes.get_mut(&to).expect("a node");
         let actions = node.member.accept(message, now);
-        self.carry_out(to, actions);
+        self.execute(to, actions);
     }
 
     fn answer_stream(&mut self, at: SocketAddrV4, to: SocketAddrV4, ask: &CatalogMessage) {
         let CatalogMessage::Ask { head, .. } = ask else {
             panic!("not an ask: {ask:?}");
         };
-        if !self.connected(at, to) {
+        if !self.are_connected(at, to) {
             return;
         }
         let now = self.now;
         let answer = self.nodes[&to].member.answer_to(head, now);
         let node = self.nodes.get_mut(&at).expect("a node");
         let actions = node.member.accept(answer, now);
-        self.carry_out(at, actions);
+        self.execute(at, actions);
     }
 
-    /// The versions that running nodes hold.
+    /// Returns the configuration versions that running nodes hold.
     pub(crate) fn versions(&self) -> Vec<u64> {
         let running = self.nodes.values().filter(|node| !node.stopped);
         running.map(|node| node.catalog.version.0).collect()
--- a/crates/catalog/tests/all/keeper.rs
+++ b/crates/catalog/tests/all/tables.rs
@@ -1,6 +1,6 @@
-//! What a keeper takes and what it refuses.
+//! Changes that the catalog tables apply and reject.
 
-use lovagelatch_catalog::{CatalogKeeper, StoreAnswer, StoreEvent, TargetName, TargetRow};
+use lovagelatch_catalog::{CatalogTables, StoreAnswer, StoreEvent, TargetName, TargetRow};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 use crate::support::{config, target};
@@ -9,22 +9,22 @@
     StoreAnswer { events, revision }
 }
 
-fn names(keeper: &CatalogKeeper) -> Vec<String> {
-    let targets = keeper.catalog().targets.iter();
+fn names(tables: &CatalogTables) -> Vec<String> {
+    let targets = tables.catalog().targets.iter();
     let read = targets.filter_map(TargetRow::target);
     read.map(|target| target.name.0.to_string()).collect()
 }
 
-fn keeper_with(names: &[&str], revision: u64) -> CatalogKeeper {
-    let mut keeper = CatalogKeeper::default();
+fn tables_with(names: &[&str], revision: u64) -> CatalogTables {
+    let mut tables = CatalogTables::default();
     let targets = names
         .iter()
         .map(|name| (1, StoreEvent::Target(target(name))));
     let mut events: Vec<_> = targets.collect();
     events.push((2, StoreEvent::Config(config(7, &[80]))));
-    let (changed, errors) = keeper.take_list(list(events, revision));
+    let (changed, errors) = tables.apply_list(list(events, revision));
     assert!(changed && errors.is_empty());
-    keeper
+    tables
 }
 
 fn unreadable(key: &str, target: Option<&str>) -> StoreEvent {
@@ -35,54 +35,54 @@
     }
 }
 
-fn strange(keeper: &CatalogKeeper) -> Vec<String> {
-    let rows = keeper.catalog().targets.iter();
-    let strange = rows.filter(|row| row.target().is_none());
-    strange.map(|row| row.name().0.to_string()).collect()
+fn unreadable_names(tables: &CatalogTables) -> Vec<String> {
+    let rows = tables.catalog().targets.iter();
+    let unreadable = rows.filter(|row| row.target().is_none());
+    unreadable.map(|row| row.name().0.to_string()).collect()
 }
 
-// Symptom: one bad entry in the store makes all targets disappear, or a target that an unreadable
-// entry names gets new flows. Cause: a list with a value that does not decode was refused as a whole,
-// or what had been read under that name before was kept.
+// Symptom: one bad entry in the store makes all targets disappear, or a target whose entry cannot
+// be decoded gets new flows. Cause: a list with an undecodable value was rejected as a whole, or
+// the previous record of that name was kept.
 #[test]
-fn an_unreadable_entry_names_no_target_and_hides_no_other() {
-    let mut keeper = keeper_with(&["i-1", "i-2"], 5);
+fn an_unreadable_entry_provides_no_target_and_hides_no_other() {
+    let mut tables = tables_with(&["i-1", "i-2"], 5);
     let events = vec![
         (6, unreadable("servers/i-1", Some("i-1"))),
         (3, StoreEvent::Target(target("i-2"))),
         (4, StoreEvent::Target(target("i-3"))),
         (7, unreadable("op/config", None)),
     ];
-    let (changed, errors) = keeper.take_list(list(events, 8));
+    let (changed, errors) = tables.apply_list(list(events, 8));
     assert!(changed);
     assert_eq!(errors.len(), 2);
-    assert_eq!(names(&keeper), ["i-2", "i-3"]);
-    assert_eq!(strange(&keeper), ["i-1"]);
-    assert_eq!(keeper.catalog().version.0, 7);
-    assert_eq!(keeper.catalog().routes.len(), 1);
+    assert_eq!(names(&tables), ["i-2", "i-3"]);
+    assert_eq!(unreadable_names(&tables), ["i-1"]);
+    assert_eq!(tables.catalog().version.0, 7);
+    assert_eq!(tables.catalog().routes.len(), 1);
 }
 
-struct UnreadCase {
+struct UnreadableCase {
     name: &'static str,
-    /// What the store lists first, by revision 5.
+    /// Entries of the first list, at revision 5.
     first: Vec<StoreEvent>,
-    /// What a watch brings after it.
+    /// Events of the watch that follows.
     then: Vec<StoreEvent>,
-    strange: &'static [&'static str],
+    unreadable_names: &'static [&'static str],
 }
 
-// Symptom: two balancers take the store's list again and again while one entry in it cannot be read.
-// Sequence: one knew the target before and kept its last record, the other started since. Cause: what
-// a balancer held depended on more than what the store held.
+// Symptom: two balancers list the store again and again while one entry cannot be decoded.
+// Sequence: one balancer knew the target and kept its last record; the other has started since.
+// Cause: the catalog of a balancer depended on more than the content of the store.
 #[test]
-fn what_is_held_depends_on_the_store_alone() {
+fn the_catalog_depends_on_the_store_alone() {
     let garbage = |name: &str| unreadable(&format!("servers/{name}"), Some(name));
     let listed = |name: &str| StoreEvent::Target(target(name));
-    let case = |name, first, then, strange| UnreadCase {
+    let case = |name, first, then, unreadable_names| UnreadableCase {
         name,
         first,
         then,
-        strange,
+        unreadable_names,
     };
     let cases = [
         case("all are read", vec![listed("i-1")], vec![], &[]),
@@ -93,7 +93,7 @@
             &["i-2"],
         ),
         case(
-            "it is whole again",
+            "it is readable again",
             vec![garbage("i-2")],
             vec![listed("i-2")],
             &[],
@@ -118,14 +118,19 @@
         ),
     ];
     for case in cases {
-        let mut follows = CatalogKeeper::default();
+        let mut watching = CatalogTables::default();
         let at = |revision| move |event| (revision, event);
         let first: Vec<_> = case.first.iter().cloned().map(at(5)).collect();
-        follows.take_list(list(first, 5));
+        watching.apply_list(list(first, 5));
         let then: Vec<_> = case.then.iter().cloned().map(at(6)).collect();
-        follows.take_events(list(then, 6));
-        assert_eq!(strange(&follows), case.strange, "{}", case.name);
-        // One that starts now reads the outcome.
+        watching.apply_events(list(then, 6));
+        assert_eq!(
+            unreadable_names(&watching),
+            case.unreadable_names,
+            "{}",
+            case.name
+        );
+        // A new process lists the final state.
         let name_of = |event: &StoreEvent| match event {
             StoreEvent::Target(target) => Some(target.name.clone()),
             StoreEvent::TargetRemoved(name) => Some(name.clone()),
@@ -142,61 +147,60 @@
         let added = case.then.iter();
         let added = added.filter(|event| !matches!(event, StoreEvent::TargetRemoved(_)));
         let outcome: Vec<_> = kept.chain(added).cloned().map(at(6)).collect();
-        let mut starts = CatalogKeeper::default();
-        starts.take_list(list(outcome, follows.head().targets.revision));
+        let mut listing = CatalogTables::default();
+        listing.apply_list(list(outcome, watching.head().targets.revision));
         assert_eq!(
-            starts.head().targets,
-            follows.head().targets,
+            listing.head().targets,
+            watching.head().targets,
             "{}",
             case.name
         );
     }
 }
 
-// Symptom: a target that left comes back for a moment. Sequence: a peer tells of revision 9; then
-// the answer of a watch that began at 5 arrives. Cause: events that were already known were
-// applied again.
+// Symptom: a removed target reappears for a moment. Sequence: a peer reports revision 9; then the
+// answer of a watch from revision 5 arrives. Cause: known events were applied again.
 #[test]
 fn old_events_change_nothing() {
-    let mut keeper = keeper_with(&["i-1"], 5);
-    let mut peer = keeper.clone();
+    let mut tables = tables_with(&["i-1"], 5);
+    let mut peer = tables.clone();
     let events = vec![
         (6, StoreEvent::Target(target("i-2"))),
         (9, StoreEvent::TargetRemoved(TargetName("i-2".into()))),
     ];
-    peer.take_events(list(events.clone(), 9));
-    let delta = peer.delta_since(&keeper.head());
-    assert_eq!(keeper.take_delta(delta), Ok(true));
+    peer.apply_events(list(events.clone(), 9));
+    let delta = peer.delta_since(&tables.head());
+    assert_eq!(tables.apply_delta(delta), Ok(true));
     let late = vec![events[0].clone(), (8, StoreEvent::Config(config(8, &[81])))];
-    keeper.take_events(list(late, 8));
-    assert_eq!(names(&keeper), ["i-1"]);
-    assert_eq!(keeper.catalog().version.0, 8, "the configuration was new");
-    // A list that was read before all that.
-    keeper.take_list(list(vec![(2, StoreEvent::Config(config(7, &[80])))], 5));
-    assert_eq!(names(&keeper), ["i-1"]);
-    assert_eq!(keeper.catalog().version.0, 8);
+    tables.apply_events(list(late, 8));
+    assert_eq!(names(&tables), ["i-1"]);
+    assert_eq!(tables.catalog().version.0, 8, "the configuration was new");
+    // A list that was read before these changes.
+    tables.apply_list(list(vec![(2, StoreEvent::Config(config(7, &[80])))], 5));
+    assert_eq!(names(&tables), ["i-1"]);
+    assert_eq!(tables.catalog().version.0, 8);
 }
 
 #[test]
 fn a_delta_brings_a_peer_to_the_same_state() {
-    let mut keeper = keeper_with(&["i-1"], 5);
-    let mut peer = CatalogKeeper::default();
-    peer.take_delta(keeper.delta_since(&peer.head()))
-        .expect("whole");
-    assert_eq!(peer.catalog(), keeper.catalog());
-    keeper.take_events(list(
+    let mut tables = tables_with(&["i-1"], 5);
+    let mut peer = CatalogTables::default();
+    peer.apply_delta(tables.delta_since(&peer.head()))
+        .expect("a full delta");
+    assert_eq!(peer.catalog(), tables.catalog());
+    tables.apply_events(list(
         vec![
             (6, StoreEvent::Target(target("i-2"))),
             (7, StoreEvent::Config(config(9, &[80, 81]))),
         ],
         7,
     ));
-    let delta = keeper.delta_since(&peer.head());
+    let delta = tables.delta_since(&peer.head());
     let routes = delta.config.as_ref().expect("the configuration changed");
-    assert_eq!(routes.routes.changed.len(), 1, "only the new route travels");
-    peer.take_delta(delta).expect("a fit");
-    assert_eq!(peer.catalog(), keeper.catalog());
-    assert_eq!(peer.head(), keeper.head());
+    assert_eq!(routes.routes.changed.len(), 1, "only the new route is sent");
+    peer.apply_delta(delta).expect("a delta that fits");
+    assert_eq!(peer.catalog(), tables.catalog());
+    assert_eq!(peer.head(), tables.head());
 }
 
 /// Writes and removals of a few targets.
@@ -212,9 +216,9 @@
 }
 
 quickcheck! {
-    /// Whoever watches in any portions ends where one that reads the end state begins.
+    /// A watch in portions of any size ends in the state that a list of the final state gives.
     fn a_watch_in_portions_equals_the_list(history: History, portion: u8) -> bool {
-        let mut watching = keeper_with(&["i-0"], 5);
+        let mut watching = tables_with(&["i-0"], 5);
         let mut state: std::collections::BTreeSet<u8> = [0].into();
         let mut events = Vec::new();
         for (revision, (number, written)) in (6..).zip(history.0) {
@@ -229,7 +233,7 @@
         }
         for portion in events.chunks(usize::from(portion % 7) + 1) {
             let revision = portion.last().map_or(5, |(revision, _)| *revision);
-            watching.take_events(list(portion.to_vec(), revision));
+            watching.apply_events(list(portion.to_vec(), revision));
         }
         let expected: Vec<_> = state.iter().map(|number| format!("i-{number}")).collect();
         names(&watching) == expected
--- a/crates/catalog/tests/all/zones.rs
+++ b/crates/catalog/tests/all/zones.rs
@@ -1,18 +1,18 @@
-//! Load pattern: the operator evacuates zones and takes them back, while readers die, the store fails, and
-//! processes start that know nothing.
+//! Load pattern: the operator evacuates zones and ends evacuations while readers die, the store
+//! fails, and new processes start.
 
 use std::time::Duration;
 
 use lovagelatch_catalog::{
-    CatalogDelta, CatalogHead, CatalogKeeper, CatalogMember, CatalogMessage, MemberSettings,
+    CatalogDelta, CatalogHead, CatalogMember, CatalogMessage, CatalogTables, MemberSettings,
     StoreAnswer, StoreEvent,
 };
 use lovagelatch_domain::Moment;
 use smallvec::smallvec;
 
-use crate::support::{Group, READER_TROUBLES, address, config};
+use crate::support::{Group, READER_FAULTS, address, config};
 
-/// What the users allow at least from the store's word until it is obeyed.
+/// The shortest time that the users allow from the store write until an evacuation is in force.
 const EVACUATION_LIMIT: Duration = Duration::from_secs(5);
 
 fn evacuate(zone: &str) -> StoreEvent {
@@ -32,80 +32,80 @@
 
 fn new_member(number: u8) -> CatalogMember {
     let settings = MemberSettings {
-        own: address(number),
+        gossip: address(number),
         seeds: smallvec![address(1)],
     };
     CatalogMember::new(settings, number.into(), Moment::from_millis(1_000))
 }
 
-fn zones(keeper: &CatalogKeeper) -> Vec<&str> {
-    let zones = keeper.catalog().evacuated.iter();
+fn zones(tables: &CatalogTables) -> Vec<&str> {
+    let zones = tables.catalog().evacuated.iter();
     zones.map(|zone| zone.0.as_str()).collect()
 }
 
-/// A keeper that listed a store with these zones evacuated, up to `revision`.
-fn listed(zones: &[&str], revision: u64) -> CatalogKeeper {
-    let mut keeper = CatalogKeeper::default();
+/// Creates tables from a store list with these zones evacuated, up to `revision`.
+fn listed(zones: &[&str], revision: u64) -> CatalogTables {
+    let mut tables = CatalogTables::default();
     let mut events = vec![(1, StoreEvent::Config(config(1, &[80])))];
     events.extend(zones.iter().map(|zone| (2, evacuate(zone))));
-    let (changed, errors) = keeper.take_list(answer(revision, &events));
+    let (changed, errors) = tables.apply_list(answer(revision, &events));
     assert!(changed && errors.is_empty());
-    keeper
+    tables
 }
 
-enum Told {
+enum ZoneInput {
     List(u64, &'static [&'static str]),
     Watch(u64, Vec<(u64, StoreEvent)>),
-    /// A peer that has listed the store up to a revision, with these zones evacuated.
+    /// Delta of a peer that has listed the store up to a revision, with these zones evacuated.
     Peer(u64, &'static [&'static str]),
 }
 
 struct OrderCase {
     name: &'static str,
-    told: Vec<Told>,
+    inputs: Vec<ZoneInput>,
     zones: &'static [&'static str],
 }
 
-// Symptom: a zone gets new flows although it is evacuated, or none although it was taken back. Cause: an
-// older word was taken after a newer one.
+// Symptom: a zone gets new flows although it is evacuated, or none although its evacuation has
+// ended. Cause: an older change was applied after a newer one.
 #[test]
-fn no_older_word_undoes_a_newer_one() {
+fn no_older_change_undoes_a_newer_one() {
     let cases = [
         OrderCase {
-            name: "a watch that a peer was faster than",
-            told: vec![
-                Told::Peer(9, &["hall-b"]),
-                Told::Watch(8, vec![(6, evacuate("hall-a")), (8, restore("hall-b"))]),
+            name: "a watch that answers after a newer delta of a peer",
+            inputs: vec![
+                ZoneInput::Peer(9, &["hall-b"]),
+                ZoneInput::Watch(8, vec![(6, evacuate("hall-a")), (8, restore("hall-b"))]),
             ],
             zones: &["hall-b"],
         },
         OrderCase {
             name: "a list that was read before the change",
-            told: vec![
-                Told::Watch(7, vec![(7, evacuate("hall-a"))]),
-                Told::List(6, &[]),
+            inputs: vec![
+                ZoneInput::Watch(7, vec![(7, evacuate("hall-a"))]),
+                ZoneInput::List(6, &[]),
             ],
             zones: &["hall-a"],
         },
         OrderCase {
-            name: "a list after history was dropped",
-            told: vec![
-                Told::Watch(7, vec![(7, evacuate("hall-a"))]),
-                Told::List(20, &["hall-c"]),
+            name: "a list after the history was dropped",
+            inputs: vec![
+                ZoneInput::Watch(7, vec![(7, evacuate("hall-a"))]),
+                ZoneInput::List(20, &["hall-c"]),
             ],
             zones: &["hall-c"],
         },
         OrderCase {
             name: "a peer that lags",
-            told: vec![
-                Told::Watch(8, vec![(7, evacuate("hall-a")), (8, restore("hall-a"))]),
-                Told::Peer(7, &["hall-a"]),
+            inputs: vec![
+                ZoneInput::Watch(8, vec![(7, evacuate("hall-a")), (8, restore("hall-a"))]),
+                ZoneInput::Peer(7, &["hall-a"]),
             ],
             zones: &[],
         },
         OrderCase {
             name: "several in one answer",
-            told: vec![Told::Watch(
+            inputs: vec![ZoneInput::Watch(
                 9,
                 vec![
                     (6, evacuate("hall-a")),
@@ -118,56 +118,58 @@
         },
     ];
     for case in cases {
-        let mut keeper = listed(&[], 5);
-        for told in case.told {
-            match told {
-                Told::List(revision, zones) => {
+        let mut tables = listed(&[], 5);
+        for input in case.inputs {
+            match input {
+                ZoneInput::List(revision, zones) => {
                     let events: Vec<_> = zones.iter().map(|zone| (2, evacuate(zone))).collect();
-                    keeper.take_list(answer(revision, &events));
+                    tables.apply_list(answer(revision, &events));
                 }
-                Told::Watch(revision, events) => {
-                    let (_, errors) = keeper.take_events(answer(revision, &events));
+                ZoneInput::Watch(revision, events) => {
+                    let (_, errors) = tables.apply_events(answer(revision, &events));
                     assert_eq!(errors, [], "{}", case.name);
                 }
-                Told::Peer(revision, zones) => {
-                    let delta = listed(zones, revision).delta_since(&keeper.head());
-                    // The targets are none of this test's.
-                    let taken = keeper.take_delta(delta);
-                    assert!(taken.is_ok(), "{}: {taken:?}", case.name);
+                ZoneInput::Peer(revision, zones) => {
+                    let delta = listed(zones, revision).delta_since(&tables.head());
+                    // Targets are not checked by this test.
+                    let applied = tables.apply_delta(delta);
+                    assert!(applied.is_ok(), "{}: {applied:?}", case.name);
                 }
             }
         }
-        assert_eq!(zones(&keeper), case.zones, "{}", case.name);
+        assert_eq!(zones(&tables), case.zones, "{}", case.name);
     }
 }
 
-// Symptom: a balancer that has just started sends flows into an evacuated zone. Sequence: it learns routes
-// and targets from a peer. Cause: the zones were not part of what a fresh process is handed.
+// Symptom: a balancer that has just started sends flows into an evacuated zone. Sequence: it gets
+// routes and targets from a peer. Cause: the zones were not part of the first delta of a new
+// process.
 #[test]
-fn a_fresh_process_is_handed_the_zones_with_its_first_catalog() {
-    let keeper = listed(&["hall-a"], 5);
-    let mut fresh = CatalogKeeper::default();
+fn a_new_process_gets_the_zones_with_its_first_catalog() {
+    let tables = listed(&["hall-a"], 5);
+    let mut fresh = CatalogTables::default();
     assert_eq!(fresh.catalog().zones_revision, 0);
-    let delta = keeper.delta_since(&fresh.head());
-    assert_eq!(fresh.take_delta(delta), Ok(true));
+    let delta = tables.delta_since(&fresh.head());
+    assert_eq!(fresh.apply_delta(delta), Ok(true));
     assert_eq!(zones(&fresh), ["hall-a"]);
-    assert_eq!(fresh.catalog(), keeper.catalog());
-    // That none is evacuated is a word as well.
-    let keeper = listed(&[], 5);
-    let mut fresh = CatalogKeeper::default();
-    let delta = keeper.delta_since(&fresh.head());
-    assert_eq!(fresh.take_delta(delta), Ok(true));
+    assert_eq!(fresh.catalog(), tables.catalog());
+    // An empty set of evacuated zones is information too.
+    let tables = listed(&[], 5);
+    let mut fresh = CatalogTables::default();
+    let delta = tables.delta_since(&fresh.head());
+    assert_eq!(fresh.apply_delta(delta), Ok(true));
     assert_eq!(fresh.catalog().zones_revision, 5);
 }
 
-// Symptom: a balancer places flows in an evacuated zone for longer than the users allow. Sequence: the
-// balancers that read the store die, or are cut off; the operator evacuates a zone, and takes it back.
+// Symptom: a balancer places flows in an evacuated zone for longer than the users allow. Sequence:
+// the elected readers die, or are cut off; the operator evacuates a zone, and later ends the
+// evacuation.
 #[test]
 fn an_evacuation_is_known_everywhere_in_time_whatever_happens_to_the_readers() {
-    for case in READER_TROUBLES {
+    for case in READER_FAULTS {
         let mut group = Group::settled(8, Duration::from_secs(5));
         let readers = group.readers();
-        (case.strike)(&mut group, &readers);
+        (case.inject)(&mut group, &readers);
         group.set_evacuated("hall-a", true);
         group.run(EVACUATION_LIMIT - Duration::from_secs(2));
         let late = group.evacuated();
@@ -183,9 +185,10 @@
     }
 }
 
-// In calm the word is everywhere within a second, and nobody calls the store more often for it.
+// In normal operation an evacuation is known everywhere within a second, without further calls to
+// the store.
 #[test]
-fn in_calm_an_evacuation_is_known_everywhere_within_a_second() {
+fn in_normal_operation_an_evacuation_is_known_everywhere_within_a_second() {
     let mut group = Group::settled(60, Duration::from_secs(5));
     group.set_evacuated("hall-a", true);
     group.run(Duration::from_secs(1));
@@ -197,14 +200,14 @@
     );
 }
 
-// Symptom: a balancer that has just started says that it is ready, and holds what it is sent. Sequence: it is told
-// of the configuration and not of the zones. Cause: routes alone made it ready.
+// Symptom: a balancer that has just started reports ready, and holds the packets that it receives.
+// Sequence: it gets the configuration but not the zones. Cause: routes alone made it ready.
 #[test]
-fn a_configuration_without_the_zones_makes_nobody_ready() {
-    let keeper = listed(&["hall-a"], 5);
+fn a_configuration_without_zones_makes_no_balancer_ready() {
+    let tables = listed(&["hall-a"], 5);
     let mut member = new_member(3);
-    let mut told = keeper.delta_since(&CatalogHead::default());
-    let zones = told.zones.take();
+    let mut delta = tables.delta_since(&CatalogHead::default());
+    let zones = delta.zones.take();
     let answer = |delta| CatalogMessage::Answer {
         sender: address(1),
         age: Duration::ZERO,
@@ -212,7 +215,7 @@
         delta: Box::new(delta),
     };
     let now = Moment::from_millis(1_000);
-    member.accept(answer(told), now);
+    member.accept(answer(delta), now);
     assert!(!member.is_ready());
     let rest = CatalogDelta {
         zones,
@@ -222,10 +225,10 @@
     assert!(member.is_ready());
 }
 
-// Symptom: all processes are killed while a zone is evacuated, and it gets flows at once. Cause: what a
-// process that is ready knows did not include the zones.
+// Symptom: all processes are killed while a zone is evacuated, and the zone gets flows at once
+// after the restart. Cause: readiness did not require the zones to be known.
 #[test]
-fn nobody_is_ready_before_the_zones_are_known() {
+fn no_balancer_is_ready_before_the_zones_are_known() {
     let mut group = Group::settled(4, Duration::from_secs(5));
     group.set_evacuated("hall-a", true);
     group.run(Duration::from_secs(1));
--- a/crates/flows/benches/memory.rs
+++ b/crates/flows/benches/memory.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use lovagelatch_catalog::{
-    CatalogKeeper, PublishedConfig, PublishedRoute, PublishedTarget, RouteShare, StoreAnswer,
+    CatalogTables, PublishedConfig, PublishedRoute, PublishedTarget, RouteShare, StoreAnswer,
     StoreEvent, TargetName, TargetRow, TargetStart,
 };
 use lovagelatch_domain::{AgentAddress, ConfigRevision, Moment, ServiceId, ServiceName, ZoneName};
@@ -105,9 +105,9 @@
 fn measure_catalog() {
     let before = HELD.load(Ordering::Relaxed);
     let answer = large_catalog();
-    let mut keeper = CatalogKeeper::default();
+    let mut tables = CatalogTables::default();
     let start = Instant::now();
-    let (_, errors) = keeper.take_list(answer);
+    let (_, errors) = tables.apply_list(answer);
     assert!(errors.is_empty(), "{errors:?}");
     let held = HELD.load(Ordering::Relaxed) - before;
     println!("catalog: {held} bytes, taken in {:?}", start.elapsed());
@@ -118,7 +118,7 @@
         flow_lifetime: Duration::from_secs(60),
     });
     let start = Instant::now();
-    builder.take(keeper.catalog(), Moment::ZERO);
+    builder.take(tables.catalog(), Moment::ZERO);
     let view = builder.build(Moment::ZERO);
     let held = HELD.load(Ordering::Relaxed) - before;
     let counts = view.counts();
@@ -127,14 +127,14 @@
         start.elapsed()
     );
     drop(view);
-    measure_target_changes(&mut keeper, &mut builder);
+    measure_target_changes(&mut tables, &mut builder);
 }
 
 /// Measures the time that changes of one target each take at the target size.
 fn measure_changes(
     what: &str,
     events: Vec<StoreEvent>,
-    keeper: &mut CatalogKeeper,
+    tables: &mut CatalogTables,
     builder: &mut FlowViewBuilder,
 ) {
     let count = u32::try_from(events.len()).expect("few events");
@@ -142,16 +142,16 @@
     // The packet path holds the newest view until the next one replaces it.
     let mut view = builder.build(Moment::ZERO);
     for event in events {
-        let revision = keeper.head().targets.revision + 1;
+        let revision = tables.head().targets.revision + 1;
         let start = Instant::now();
-        keeper.take_events(StoreAnswer {
+        tables.apply_events(StoreAnswer {
             events: vec![(revision, event)],
             revision,
         });
         taken += start.elapsed();
         let start = Instant::now();
-        let changes = keeper.take_changes();
-        builder.take_changes(keeper.catalog(), &changes, Moment::ZERO);
+        let changes = tables.take_changes();
+        builder.take_changes(tables.catalog(), &changes, Moment::ZERO);
         view = builder.build(Moment::ZERO);
         built += start.elapsed();
     }
@@ -163,8 +163,8 @@
     );
 }
 
-fn measure_target_changes(keeper: &mut CatalogKeeper, builder: &mut FlowViewBuilder) {
-    let rows = keeper.catalog().targets.iter().take(200);
+fn measure_target_changes(tables: &mut CatalogTables, builder: &mut FlowViewBuilder) {
+    let rows = tables.catalog().targets.iter().take(200);
     let rows = rows.filter_map(TargetRow::target).cloned();
     let leaving = rows.map(|row| {
         StoreEvent::Target(PublishedTarget {
@@ -174,12 +174,12 @@
     });
     let leaving: Vec<_> = leaving.collect();
     // As many as vanish in one minute, for which a vanished target is remembered.
-    let rows = keeper.catalog().targets.iter().take(34);
+    let rows = tables.catalog().targets.iter().take(34);
     let gone: Vec<_> = rows
         .map(|row| StoreEvent::TargetRemoved(row.name().clone()))
         .collect();
-    measure_changes("a target leaves", leaving, keeper, builder);
-    measure_changes("a target is gone", gone, keeper, builder);
+    measure_changes("a target leaves", leaving, tables, builder);
+    measure_changes("a target is gone", gone, tables, builder);
 }
 
 fn main() {
--- a/crates/flows/src/load.rs
+++ b/crates/flows/src/load.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use lovagelatch_catalog::{AgentStop, RESTART_SPAN};
+use lovagelatch_catalog::{AgentStop, RESTART_GRACE};
 use lovagelatch_domain::{AgentAddress, Moment, ServiceId};
 
 use crate::frame::LoadReport;
@@ -101,7 +101,7 @@
     }
 }
 
-/// An agent's word that it stops. It holds until the agent is heard again, or for [`RESTART_SPAN`].
+/// An agent's word that it stops. It holds until the agent is heard again, or for [`RESTART_GRACE`].
 #[derive(Clone, Copy, Debug)]
 struct StopWord {
     at: Moment,
@@ -167,12 +167,12 @@
             agent,
             age: now.since(word.at),
         });
-        stops.filter(|stop| stop.age < RESTART_SPAN).collect()
+        stops.filter(|stop| stop.age < RESTART_GRACE).collect()
     }
 
     /// Whether an agent may have said that it stops before this balancer could know of it.
     fn may_have_stopped(&self, load: &TargetLoad, now: Moment) -> bool {
-        load.heard == Moment::ZERO && now.since(self.stops_since) < RESTART_SPAN
+        load.heard == Moment::ZERO && now.since(self.stops_since) < RESTART_GRACE
     }
 
     /// Whether an agent was sent frames for `span` and probes in it and was not heard, while others were,
@@ -187,7 +187,7 @@
     /// Whether an agent said that it stops, and its successor may still be starting.
     fn is_restarting(&self, agent: AgentAddress, now: Moment) -> bool {
         let word = self.stops.get(&agent);
-        word.is_some_and(|word| now.since(word.at) < RESTART_SPAN)
+        word.is_some_and(|word| now.since(word.at) < RESTART_GRACE)
     }
 
     /// Notes that a frame was sent.
@@ -337,7 +337,7 @@
     fn is_stopped(&self, agent: AgentAddress, now: Moment) -> bool {
         let load = self.loads.get(&agent);
         let unresponsive = load.is_some_and(|load| {
-            let recent = now.since(load.heard) < RESTART_SPAN;
+            let recent = now.since(load.heard) < RESTART_GRACE;
             recent && !load.report.responsive
         });
         unresponsive || self.is_restarting(agent, now)
@@ -365,7 +365,7 @@
             now.since(load.heard) < idle || now < load.avoid_until || asked(load)
         });
         self.stops
-            .retain(|_, word| now.since(word.at) < RESTART_SPAN);
+            .retain(|_, word| now.since(word.at) < RESTART_GRACE);
     }
 
     fn entry(&mut self, agent: AgentAddress, service: ServiceId) -> &mut TargetLoad {
