--- a/crates/flows/src/view/doubt.rs
+++ b/crates/flows/src/view/doubt.rs
@@ -7,7 +7,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use lovagelatch_catalog::RETURN_SPAN;
+use lovagelatch_catalog::RECOVERY_WINDOW;
 use lovagelatch_domain::Moment;
 use serde::Serialize;
 
@@ -128,7 +128,7 @@
     /// Until when a living target whose entry vanished at `since` may be off the list.
     pub(super) fn lapse_end(&self, since: Moment) -> Moment {
         let end = since + LAPSE_SPAN;
-        let listed = self.returned.map(|at| at + RETURN_SPAN);
+        let listed = self.returned.map(|at| at + RECOVERY_WINDOW);
         match listed.filter(|listed| since < *listed) {
             Some(listed) => end.min(listed),
             None => end,
@@ -138,7 +138,7 @@
     /// When the coverage next changes by the passing of time.
     pub(super) fn next_change(&self, now: Moment) -> Option<Moment> {
         let trouble = self.trouble.map(|at| at + TROUBLE_SPAN);
-        let returned = self.returned.map(|at| at + RETURN_SPAN);
+        let returned = self.returned.map(|at| at + RECOVERY_WINDOW);
         let unplaced = self.unreadable.values().flatten();
         let readable = unplaced.map(|&since| since + UNREADABLE_SPAN);
         let changes = trouble.into_iter().chain(returned).chain(readable);
@@ -150,7 +150,9 @@
         if !self.informed {
             return ViewCoverage::Doubtful(ViewDoubt::NotInformed);
         }
-        let back = self.returned.is_some_and(|at| now.since(at) >= RETURN_SPAN);
+        let back = self
+            .returned
+            .is_some_and(|at| now.since(at) >= RECOVERY_WINDOW);
         if self.is_troubled(now) && !back {
             return ViewCoverage::Doubtful(ViewDoubt::StoreTrouble);
         }
--- a/crates/flows/tests/all/loss.rs
+++ b/crates/flows/tests/all/loss.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lovagelatch_catalog::{AgentStop, Catalog, RESTART_SPAN};
+use lovagelatch_catalog::{AgentStop, Catalog, RESTART_GRACE};
 use lovagelatch_flows::{
     BalancerStep, DueSearch, FlowBalancer, FlowEvent, FlowView, LoadReport, LossReason,
 };
@@ -290,7 +290,7 @@
         end: u64,
         expected: usize,
     }
-    let restart = u64::try_from(RESTART_SPAN.as_millis()).expect("some seconds");
+    let restart = u64::try_from(RESTART_GRACE.as_millis()).expect("some seconds");
     let cases = [
         RestartCase {
             name: "nobody heard of a stop",
@@ -366,7 +366,7 @@
         /// When the flow is reported lost, in milliseconds.
         expected: u64,
     }
-    let restart = u64::try_from(RESTART_SPAN.as_millis()).expect("some seconds");
+    let restart = u64::try_from(RESTART_GRACE.as_millis()).expect("some seconds");
     let cases = [
         FreshCase {
             name: "started with the silence",
--- a/crates/flows/tests/all/view_changes.rs
+++ b/crates/flows/tests/all/view_changes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lovagelatch_catalog::{
-    CatalogKeeper, PublishedConfig, PublishedRoute, StoreAnswer, StoreEvent, TargetName,
+    CatalogTables, PublishedConfig, PublishedRoute, StoreAnswer, StoreEvent, TargetName,
     TargetStart,
 };
 use lovagelatch_domain::ConfigRevision;
@@ -129,7 +129,7 @@
 
 quickcheck! {
     fn following_changes_and_taking_the_whole_catalog_agree(steps: Vec<ViewStep>) -> bool {
-        let mut keeper = CatalogKeeper::default();
+        let mut tables = CatalogTables::default();
         let (mut following, mut whole) = (builder(), builder());
         let (mut revision, mut seconds) = (0, 1);
         for step in steps {
@@ -144,10 +144,10 @@
                     revision += 1;
                     let events = event_of(step, revision).into_iter();
                     let events = events.map(|event| (revision, event)).collect();
-                    keeper.take_events(StoreAnswer { events, revision });
-                    let changes = keeper.take_changes();
-                    following.take_changes(keeper.catalog(), &changes, now);
-                    whole.take(keeper.catalog(), now);
+                    tables.apply_events(StoreAnswer { events, revision });
+                    let changes = tables.take_changes();
+                    following.take_changes(tables.catalog(), &changes, now);
+                    whole.take(tables.catalog(), now);
                 }
             }
             if differ(&following.build(now), &whole.build(now)) {
@@ -160,7 +160,7 @@
 
 #[test]
 fn a_target_that_came_and_went_between_two_views_is_not_listed() {
-    let mut keeper = CatalogKeeper::default();
+    let mut tables = CatalogTables::default();
     let mut following = builder();
     for (revision, step) in [
         (
@@ -183,10 +183,10 @@
     ] {
         let events = event_of(step, revision).into_iter();
         let events = events.map(|event| (revision, event)).collect();
-        keeper.take_events(StoreAnswer { events, revision });
+        tables.apply_events(StoreAnswer { events, revision });
     }
-    let changes = keeper.take_changes();
-    following.take_changes(keeper.catalog(), &changes, at(0));
+    let changes = tables.take_changes();
+    following.take_changes(tables.catalog(), &changes, at(0));
     let view = following.build(at(0));
     let targets = view
         .service(claims())
