--- a/standins/soak/src/fleet.rs
+++ b/standins/soak/src/fleet.rs
@@ -260,7 +260,7 @@
     /// Writes entries that are no target's: bytes that cannot be read, and one of a service that no
     /// configuration names, at an address where nobody listens.
     pub(crate) fn write_foreign_entries(&self) {
-        self.store.put_garbage(&foreign_name(1));
+        self.store.put_malformed(&foreign_name(1));
         self.store.put_target(&PublishedTarget {
             name: foreign_name(2),
             service: "elsewhere".parse().expect("a service"),
--- a/standins/soak/src/run.rs
+++ b/standins/soak/src/run.rs
@@ -357,10 +357,10 @@
             }
             SoakFault::StoreRefuses => fleet.store.set_mode(StoreMode::Refusing),
             SoakFault::StoreLapse => self.lapse(machine),
-            SoakFault::StoreForgets => fleet.store.forget_history(),
+            SoakFault::StoreForgets => fleet.store.compact_history(),
             SoakFault::BadEntry => {
                 if fleet.machines[machine].target.is_some() {
-                    fleet.store.put_garbage(&fleet.entry_name(machine));
+                    fleet.store.put_malformed(&fleet.entry_name(machine));
                 }
             }
             SoakFault::RebornTarget => self.crash_reborn(machine),
