--- a/bins/balancer/src/control.rs
+++ b/bins/balancer/src/control.rs
@@ -115,7 +115,7 @@
         let keys = self.keys.load();
         let error = match open_frame(frame, &keys) {
             Ok(opened) if opened.kind == FrameKind::Membership => return true,
-            Ok(opened) => FrameError::UnknownKind {
+            Ok(opened) => FrameError::UnexpectedKind {
                 kind: opened.kind as u8,
             },
             Err(error) => error,
--- a/bins/balancer/tests/all/upgrade.rs
+++ b/bins/balancer/tests/all/upgrade.rs
@@ -57,7 +57,7 @@
     let (same, next) = (bind(), bind());
     let next_version = WIRE_VERSION + 1;
     let later = probe(next_version, &next, &keys);
-    let expected = FrameError::UnknownVersion {
+    let expected = FrameError::UnsupportedVersion {
         version: next_version,
     };
     assert_eq!(open_frame(&later, &keys), Err(expected));
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -1,6 +1,6 @@
-//! A caller's datagram on its way from a balancer to an agent.
+//! Forward frames, which carry a caller's datagram from a balancer to an agent.
 //!
-//! Every field of the header has a fixed width, so that the largest frame is as long as any:
+//! Every header field has a fixed width, so the header length does not depend on the values:
 //!
 //! ```text
 //! bytes 0..6    caller: address 4, port 2
@@ -18,30 +18,30 @@
 
 use crate::frame::{FrameError, FrameKind, open_frame, seal_frame};
 
-/// The largest datagram of a caller that is forwarded, in bytes. With the frame around it and the
-/// 28 bytes of a gateway's header before it, the packet just fits the 1,500 bytes of an ordinary
-/// link.
+/// The largest forwarded datagram of a caller, in bytes. With the frame overhead and the 28 bytes
+/// of a gateway's header, the packet just fits into the 1,500-byte MTU of an ordinary link.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 const HEADER_BYTES: usize = 25;
 
-/// What the agent needs to know about a forwarded datagram.
+/// The header of a forwarded datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardHeader {
-    /// Who sent it; the agent answers there directly.
+    /// The sender of the datagram; the agent answers to it directly.
     pub caller: SocketAddrV4,
-    /// The service address it was sent to; the agent answers from there.
+    /// The service address that the datagram was sent to; the agent answers from it.
     pub service_address: SocketAddrV4,
-    /// The service that the balancer's view gives that address.
+    /// The service of that address in the balancer's view.
     pub service: ServiceId,
     /// The revision of that view.
     pub revision: ConfigRevision,
-    /// How many agents have handed it on already. Invariant: at most 1, so no packet circles.
+    /// How many agents have already forwarded the datagram. Invariant: at most 1, which prevents
+    /// forwarding loops.
     pub hops: u8,
 }
 
-/// Appends a forward frame with the caller's datagram to `out`, without allocating when `out`
-/// has room.
+/// Appends a forward frame with the caller's datagram to `out`. Does not allocate if `out` has
+/// enough capacity.
 pub fn seal_forward(header: &ForwardHeader, datagram: &[u8], keys: &FleetKeys, out: &mut Vec<u8>) {
     seal_frame(FrameKind::Forward, keys, out, |out| {
         out.extend_from_slice(&header.to_bytes());
@@ -49,25 +49,25 @@
     });
 }
 
-/// Opens a forward frame; returns its header and the caller's datagram.
+/// Verifies a forward frame and returns its header and the caller's datagram.
 ///
 /// # Errors
 ///
-/// A [`FrameError`] when it is not a genuine forward frame.
+/// Returns a [`FrameError`] if `bytes` is not an authentic forward frame.
 pub fn open_forward<'a>(
     bytes: &'a [u8],
     keys: &FleetKeys,
 ) -> Result<(ForwardHeader, &'a [u8]), FrameError> {
     let frame = open_frame(bytes, keys)?;
     if frame.kind != FrameKind::Forward {
-        return Err(FrameError::UnknownKind {
+        return Err(FrameError::UnexpectedKind {
             kind: frame.kind as u8,
         });
     }
     let (header, datagram) = frame
         .payload
         .split_first_chunk()
-        .ok_or(FrameError::BadPayload)?;
+        .ok_or(FrameError::InvalidPayload)?;
     Ok((ForwardHeader::from_bytes(*header), datagram))
 }
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,32 +1,32 @@
-//! The envelope of every message: version, kind, payload, tag.
+//! The frame around every message: version, kind, payload, and authentication tag.
 
 use lovagelatch_keys::{FRAME_TAG_BYTES, FleetKeys, FrameTag, KeyGeneration};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// The version this build speaks. A frame of another version is refused by its number.
+/// The wire version of this build. Frames of other versions are rejected by this byte.
 pub const WIRE_VERSION: u8 = 1;
 
 const HEADER_BYTES: usize = 3;
 
-/// What a frame adds to its payload, in bytes.
+/// Bytes that a frame adds to its payload.
 pub const FRAME_OVERHEAD_BYTES: usize = HEADER_BYTES + FRAME_TAG_BYTES;
 
-/// The largest frame on a TCP stream, in bytes; a longer length prefix ends the stream.
+/// The largest frame on a TCP stream, in bytes. A longer length prefix ends the stream.
 pub const MAX_STREAM_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
-/// What a frame carries.
+/// The kind of message in a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum FrameKind {
-    /// A caller's datagram on its way from a balancer to an agent.
+    /// A caller's datagram, forwarded from a balancer to an agent.
     Forward = 1,
-    /// A message of membership: heartbeat, gossip head, suspicion.
+    /// A membership message: heartbeat, gossip head, or suspicion.
     Membership = 2,
     /// A message about a request relayed between agents.
     Relay = 3,
-    /// A message about the once-only requests of a ledger.
+    /// A message about once-only requests in a ledger.
     Ledger = 4,
 }
 
@@ -42,51 +42,51 @@
     }
 }
 
-/// Why a frame was refused. Each is counted by whoever receives frames; none is answered.
+/// Why a frame was rejected. Receivers count rejected frames and never answer them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// Shorter than an empty frame.
+    /// The frame is shorter than an empty one.
     #[error("frame of {length} bytes is truncated")]
     Truncated {
-        /// Its length in bytes.
+        /// Length of the received bytes.
         length: usize,
     },
-    /// Of a wire version that this build does not speak.
-    #[error("frame of wire version {version}")]
-    UnknownVersion {
-        /// The version it names.
+    /// This build does not support the frame's wire version.
+    #[error("frame of wire version {version} is not supported")]
+    UnsupportedVersion {
+        /// The version byte of the frame.
         version: u8,
     },
-    /// Of a kind that this build does not know.
-    #[error("frame of unknown kind {kind}")]
-    UnknownKind {
-        /// The kind it names.
+    /// The frame's kind is unknown, or not the one expected here.
+    #[error("frame kind {kind} is unknown or not expected here")]
+    UnexpectedKind {
+        /// The kind byte of the frame.
         kind: u8,
     },
-    /// Its tag was not made with a valid fleet key.
-    #[error("frame with a wrong tag")]
-    Forged,
-    /// Its payload is not a message of its kind.
-    #[error("frame with an unreadable payload")]
-    BadPayload,
-    /// Longer than its transport allows.
-    #[error("frame of {length} bytes is too long")]
+    /// The tag was not made with a valid fleet key, or the frame was altered.
+    #[error("frame has an invalid authentication tag")]
+    InvalidTag,
+    /// The payload does not decode to a message of the frame's kind.
+    #[error("frame payload does not decode")]
+    InvalidPayload,
+    /// The frame exceeds the limit of its transport.
+    #[error("frame of {length} bytes exceeds the size limit")]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the frame in bytes.
         length: usize,
     },
 }
 
-/// A frame whose tag was found right.
+/// A frame whose tag has been verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedFrame<'a> {
-    /// What it carries.
+    /// The kind of message in the payload.
     pub kind: FrameKind,
-    /// Its payload.
+    /// The bytes between header and tag.
     pub payload: &'a [u8],
 }
 
-/// Appends a frame to `out`; `write` appends the payload.
+/// Appends a frame to `out`. The callback `write` appends the payload.
 pub fn seal_frame(
     kind: FrameKind,
     keys: &FleetKeys,
@@ -100,11 +100,11 @@
     out.extend_from_slice(&tag);
 }
 
-/// Opens the frame that fills `bytes`.
+/// Verifies the frame that occupies all of `bytes`.
 ///
 /// # Errors
 ///
-/// A [`FrameError`] when it is not a whole, genuine frame of this wire version.
+/// Returns a [`FrameError`] if `bytes` is not a complete, authentic frame of this wire version.
 pub fn open_frame<'a>(bytes: &'a [u8], keys: &FleetKeys) -> Result<OpenedFrame<'a>, FrameError> {
     if bytes.len() < FRAME_OVERHEAD_BYTES {
         return Err(FrameError::Truncated {
@@ -114,12 +114,12 @@
     let (body, tag) = bytes.split_at(bytes.len() - FRAME_TAG_BYTES);
     let version = body[0];
     if version != WIRE_VERSION {
-        return Err(FrameError::UnknownVersion { version });
+        return Err(FrameError::UnsupportedVersion { version });
     }
-    let kind = FrameKind::from_byte(body[1]).ok_or(FrameError::UnknownKind { kind: body[1] })?;
-    let tag: &FrameTag = tag.try_into().map_err(|_| FrameError::Forged)?;
+    let kind = FrameKind::from_byte(body[1]).ok_or(FrameError::UnexpectedKind { kind: body[1] })?;
+    let tag: &FrameTag = tag.try_into().map_err(|_| FrameError::InvalidTag)?;
     if !keys.verify_frame(KeyGeneration(body[2]), &[body], tag) {
-        return Err(FrameError::Forged);
+        return Err(FrameError::InvalidTag);
     }
     Ok(OpenedFrame {
         kind,
@@ -127,22 +127,23 @@
     })
 }
 
-/// Makes a frame whose whole payload is one message.
+/// Builds a frame whose payload is exactly one message.
 #[must_use]
 pub fn seal_message<M: Serialize>(kind: FrameKind, message: &M, keys: &FleetKeys) -> Vec<u8> {
     let mut frame = Vec::with_capacity(128);
     seal_frame(kind, keys, &mut frame, |out| {
-        let payload = postcard::to_stdvec(message).expect("messages hold nothing postcard refuses");
+        let payload =
+            postcard::to_stdvec(message).expect("postcard can serialize every message type");
         out.extend_from_slice(&payload);
     });
     frame
 }
 
-/// Opens a frame whose whole payload is one message of the given kind.
+/// Verifies a frame of the given kind and decodes its payload, which must be exactly one message.
 ///
 /// # Errors
 ///
-/// A [`FrameError`] when the frame or its payload is not genuine.
+/// Returns a [`FrameError`] if the frame is not authentic or its payload does not decode.
 pub fn open_message<M: DeserializeOwned>(
     kind: FrameKind,
     bytes: &[u8],
@@ -150,15 +151,15 @@
 ) -> Result<M, FrameError> {
     let frame = open_frame(bytes, keys)?;
     if frame.kind != kind {
-        return Err(FrameError::UnknownKind {
+        return Err(FrameError::UnexpectedKind {
             kind: frame.kind as u8,
         });
     }
     let (message, rest) =
-        postcard::take_from_bytes(frame.payload).map_err(|_| FrameError::BadPayload)?;
+        postcard::take_from_bytes(frame.payload).map_err(|_| FrameError::InvalidPayload)?;
     if rest.is_empty() {
         Ok(message)
     } else {
-        Err(FrameError::BadPayload)
+        Err(FrameError::InvalidPayload)
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,16 +1,16 @@
-//! Messages between the system's own processes.
+//! Messages between the processes of the fleet.
 //!
-//! Every message travels in a *frame*: over UDP one frame a datagram, over TCP one frame after
-//! the other, each behind its length. A frame names its wire version, so that old and new
-//! processes can run side by side during an upgrade, and carries a tag made with the fleet
-//! key, so that nobody else can speak to our processes.
+//! Every message is sent in a *frame*: one frame per datagram over UDP, length-prefixed frames over
+//! TCP. A frame carries its wire version, so that old and new processes can run side by side during
+//! an upgrade, and a tag made with the fleet key, so that only processes of the fleet can send
+//! valid frames.
 //!
 //! ```text
 //! version 1 | kind 1 | key generation 1 | payload (postcard, then raw bytes) | tag 16
 //! ```
 //!
-//! The sender's address, where it matters, stands in the payload: the source address of a
-//! datagram is never trusted, since a gateway may stand between.
+//! Where the sender's address matters, it is part of the payload. The source address of a datagram
+//! is never trusted, because a gateway may be in between.
 
 mod forward;
 mod frame;
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -1,30 +1,30 @@
-//! A request on its way from the agent that holds its flow to the agent whose gate runs it.
+//! Messages that relay a request from the agent that holds its flow to the agent whose gate runs
+//! it.
 //!
-//! One TCP stream carries one request at a time; an idle stream may be used again only after
-//! its last answer ended whole.
+//! A TCP stream carries one request at a time. An idle stream may be reused only after its last
+//! answer was complete.
 //!
 //! ```text
 //! holder                     gate
 //!   | -- Request, Body* -----> |
 //!   | <- Ready                 |   the stream works; nothing runs yet
-//!   | -- BodyEnd ------------> |   from here on it may run
+//!   | -- BodyEnd ------------> |   from here on the request may run
 //!   | <- Refused               |   not run: the holder may try another gate
-//!   | <- Head, Chunk*, End     |   the whole answer
-//!   | <- Lost                  |   it may have run: outcome unknown
+//!   | <- Head, Chunk*, End     |   the complete answer
+//!   | <- Lost                  |   the request may have run: outcome unknown
 //!   | -- Cancel -------------> |   the caller gave up
 //! ```
 //!
-//! `BodyEnd` is the one step that hands a request over. A gateway takes every stream, also one
-//! whose far end is cut off, and a kept stream can go silent unnoticed; so the holder sends
-//! `BodyEnd` only after `Ready`, and a stream that brings no `Ready` proves that the request
-//! did not run.
+//! Only `BodyEnd` hands the request over. A gateway accepts every stream, even if its far end is
+//! unreachable, and an idle stream can go dead unnoticed. So the holder sends `BodyEnd` only after
+//! `Ready`, and a stream that never delivers `Ready` proves that the request did not run.
 //!
-//! `Refused` and `End` carry the gate's load at that moment. A heartbeat is late by an unknown
-//! time; the load that comes with an exchange is as old as the way back, and the holder places
-//! its next requests by it.
+//! `Refused` and `End` carry the current load of the gate. A heartbeat is delayed by an unknown
+//! time, whereas this load is only as old as the message's transit time; the holder uses it to
+//! place its next requests.
 //!
-//! This is wire version 1, which no release has spoken yet; until one has, messages here change
-//! without a new version.
+//! This is wire version 1, which no release uses yet. Until the first release, messages here may
+//! change without a new version.
 
 use std::time::Duration;
 
@@ -34,89 +34,89 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// One header field of a request or an answer.
+/// An HTTP header field of a request or an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireHeader {
-    /// Its name, in lower case.
+    /// The field name in lower case.
     pub name: String,
-    /// Its value.
+    /// The field value; need not be UTF-8.
     pub value: Vec<u8>,
 }
 
 /// The start of a relayed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayRequest {
-    /// The attempt, by which the answer is matched.
+    /// Identifies the attempt in answers and cancellations.
     pub attempt: AttemptId,
-    /// The service it is for; the gate refuses any other than its own.
+    /// The requested service; the gate refuses any other than its own.
     pub service: ServiceId,
-    /// The revision of the sender's view.
+    /// The configuration revision of the sender's view.
     pub revision: ConfigRevision,
     /// The agent that holds the caller's flow.
     pub holder: AgentAddress,
-    /// The agency whose share it counts against, when the address names one.
+    /// The agency whose share the request counts against, if the address names one.
     pub agency: Option<AgencyName>,
-    /// Time left until the caller's deadline when this was sent.
+    /// Time left until the caller's deadline at the time of sending.
     pub time_left: Duration,
-    /// The caller's ticket, for a once-only request that goes to its home.
+    /// The caller's request ticket, for a once-only request relayed to its home.
     pub ticket: Option<String>,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The path with its query.
+    /// The path with the query.
     pub path: String,
-    /// The header fields that go with it.
+    /// The HTTP header fields that are forwarded.
     pub headers: SmallVec<[WireHeader; 8]>,
 }
 
 /// The start of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayHead {
-    /// The attempt it answers.
+    /// The attempt that is answered.
     pub attempt: AttemptId,
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The header fields that go with it.
+    /// The HTTP header fields that are forwarded.
     pub headers: SmallVec<[WireHeader; 8]>,
 }
 
 /// A message on a relay stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayMessage {
-    /// A request starts.
+    /// Starts a request.
     Request(RelayRequest),
-    /// More of the request's body.
+    /// Next part of the request body.
     Body(Vec<u8>),
-    /// The request's body is whole.
+    /// The request body is complete; from here on the request may run.
     BodyEnd,
-    /// The caller gave up; what has not started shall not start.
+    /// The caller gave up. A request that has not started must not start.
     Cancel(AttemptId),
-    /// The request did not run and will not.
+    /// The request did not run and will not run.
     Refused {
-        /// The attempt.
+        /// The refused attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
-        /// The further attempts that a dependency behind the gate left, if it was one that
-        /// refused; the holder makes no more than these.
+        /// The retries left by a dependency behind the gate, if a dependency refused the request;
+        /// the holder must not make more.
         attempts_left: Option<u8>,
-        /// The gate's load now; `None` from an agent that cannot tell.
+        /// The current load of the gate; `None` if the agent does not know it.
         load: Option<GateReport>,
     },
-    /// An answer starts.
+    /// Starts an answer.
     Head(RelayHead),
-    /// More of the answer's body.
+    /// Next part of the answer body.
     Chunk(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// The attempt.
+        /// The answered attempt.
         attempt: AttemptId,
-        /// The gate's load now; `None` from an agent that cannot tell.
+        /// The current load of the gate; `None` if the agent does not know it.
         load: Option<GateReport>,
     },
     /// The request may have run, but its answer is lost.
     Lost(AttemptId),
-    /// The request's head has arrived; it runs once its body is whole.
+    /// The head of the request has arrived; the request may run once its body is complete.
     Ready(AttemptId),
 }
--- a/crates/wire/tests/all/forward.rs
+++ b/crates/wire/tests/all/forward.rs
@@ -11,7 +11,7 @@
 
 use crate::support::ring;
 
-/// An ordinary link's packet less its IPv4 and UDP headers, in bytes.
+/// Payload of a packet on an ordinary link without IPv4 and UDP headers, in bytes.
 const LINK_PAYLOAD_BYTES: usize = 1_500 - 20 - 8;
 
 fn header(caller: (u32, u16), service: u32, revision: u64, hops: u8) -> ForwardHeader {
@@ -24,12 +24,12 @@
     }
 }
 
-/// What a gateway needs before a frame: a PROXY header of version 2 with IPv4 addresses.
+/// Bytes that a gateway adds before a frame: a PROXY protocol version 2 header with IPv4 addresses.
 const GATEWAY_HEADER_BYTES: usize = 28;
 
-/// Symptom: large packets of some callers are lost, or fragmented, behind a gateway. Sequence:
-/// ports, service numbers and revisions grow until the largest frame no longer fits the link.
-/// Cause: a header whose length depends on its values.
+/// Guards against large packets of some callers that are lost or fragmented behind a gateway: with
+/// a header whose length depends on its values, ports, service numbers and revisions grow until the
+/// largest frame exceeds the MTU.
 #[test]
 fn the_largest_datagram_fits_a_link() {
     let [none, all] = [0, u32::MAX];
@@ -51,15 +51,15 @@
 fn sealing_into_a_buffer_with_room_does_not_move_it() {
     let mut out = Vec::with_capacity(2_048);
     out.extend_from_slice(b"before");
-    let place = out.as_ptr();
+    let pointer = out.as_ptr();
     let keys = ring(&[1]);
     seal_forward(&header((1, 2), 3, 4, 0), &[9; 1_200], &keys, &mut out);
-    assert_eq!(out.as_ptr(), place);
+    assert_eq!(out.as_ptr(), pointer);
     assert!(open_forward(&out[6..], &keys).is_ok());
 }
 
 #[test]
-fn other_frames_are_no_forward_frames() {
+fn other_frames_are_rejected_as_forward_frames() {
     struct ForwardCase {
         name: &'static str,
         frame: Vec<u8>,
@@ -70,25 +70,25 @@
     seal_frame(FrameKind::Forward, &keys, &mut short, |out| {
         out.extend_from_slice(&[1, 2, 3]);
     });
-    let mut almost = Vec::new();
-    seal_frame(FrameKind::Forward, &keys, &mut almost, |out| {
+    let mut one_byte_short = Vec::new();
+    seal_frame(FrameKind::Forward, &keys, &mut one_byte_short, |out| {
         out.extend_from_slice(&[0xff; 24]);
     });
     let cases = [
         ForwardCase {
             name: "another kind",
             frame: seal_message(FrameKind::Relay, &1_u8, &keys),
-            expected: FrameError::UnknownKind { kind: 3 },
+            expected: FrameError::UnexpectedKind { kind: 3 },
         },
         ForwardCase {
-            name: "a cut header",
+            name: "a truncated header",
             frame: short,
-            expected: FrameError::BadPayload,
+            expected: FrameError::InvalidPayload,
         },
         ForwardCase {
             name: "a header without its last byte",
-            frame: almost,
-            expected: FrameError::BadPayload,
+            frame: one_byte_short,
+            expected: FrameError::InvalidPayload,
         },
     ];
     for case in cases {
@@ -98,7 +98,7 @@
 }
 
 quickcheck! {
-    fn what_is_sealed_opens(caller: (u32, u16), ids: (u32, u64), hops: u8, datagram: Vec<u8>)
+    fn sealed_frames_open(caller: (u32, u16), ids: (u32, u64), hops: u8, datagram: Vec<u8>)
         -> bool
     {
         let keys = ring(&[1]);
@@ -112,14 +112,14 @@
         open_forward(&bytes, &ring(&[1])).is_err()
     }
 
-    /// A process of the fleet itself may be of another build: its payload must not panic either.
+    /// A process of the fleet can run another build, so its payloads must not cause a panic either.
     fn any_sealed_payload_is_read_without_panic(payload: Vec<u8>) -> bool {
         let keys = ring(&[1]);
         let mut frame = Vec::new();
         seal_frame(FrameKind::Forward, &keys, &mut frame, |out| out.extend_from_slice(&payload));
         match open_forward(&frame, &keys) {
             Ok((_, datagram)) => payload.ends_with(datagram),
-            Err(error) => error == FrameError::BadPayload,
+            Err(error) => error == FrameError::InvalidPayload,
         }
     }
 }
--- a/crates/wire/tests/all/frame.rs
+++ b/crates/wire/tests/all/frame.rs
@@ -1,4 +1,4 @@
-//! The envelope of every message.
+//! The frame around every message.
 
 use lovagelatch_wire::{
     FRAME_OVERHEAD_BYTES, FrameError, FrameKind, open_frame, open_message, seal_frame, seal_message,
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn bad_frames_are_typed_errors() {
+fn invalid_frames_are_rejected_with_typed_errors() {
     struct FrameCase {
         name: &'static str,
         bytes: Vec<u8>,
@@ -40,33 +40,33 @@
         case(
             "of a later wire version",
             changed(0, 2),
-            FrameError::UnknownVersion { version: 2 },
+            FrameError::UnsupportedVersion { version: 2 },
         ),
         case(
             "of an unknown kind",
             changed(1, 99),
-            FrameError::UnknownKind { kind: 99 },
+            FrameError::UnexpectedKind { kind: 99 },
         ),
         case(
             "of another kind than sealed",
             changed(1, 3),
-            FrameError::Forged,
+            FrameError::InvalidTag,
         ),
         case(
             "of an unknown generation",
             changed(2, 9),
-            FrameError::Forged,
+            FrameError::InvalidTag,
         ),
-        case("payload changed", changed(3, 0xff), FrameError::Forged),
+        case("payload changed", changed(3, 0xff), FrameError::InvalidTag),
         case(
-            "cut by one byte",
+            "one byte truncated",
             sample()[..last].to_vec(),
-            FrameError::Forged,
+            FrameError::InvalidTag,
         ),
         case(
-            "one byte more",
+            "one trailing byte",
             [sample(), vec![0]].concat(),
-            FrameError::Forged,
+            FrameError::InvalidTag,
         ),
     ];
     for case in cases {
@@ -76,22 +76,23 @@
 }
 
 #[test]
-fn a_message_must_be_of_its_kind_and_whole() {
+fn a_message_must_be_complete_and_of_its_kind() {
     let keys = ring(&[1]);
     let read = open_message::<(u32, String)>(FrameKind::Membership, &sample(), &keys);
     assert_eq!(read, Ok((7, "text".to_owned())));
     let other = open_message::<(u32, String)>(FrameKind::Relay, &sample(), &keys);
-    assert_eq!(other, Err(FrameError::UnknownKind { kind: 2 }));
+    assert_eq!(other, Err(FrameError::UnexpectedKind { kind: 2 }));
     let part = open_message::<u32>(FrameKind::Membership, &sample(), &keys);
-    assert_eq!(part, Err(FrameError::BadPayload));
+    assert_eq!(part, Err(FrameError::InvalidPayload));
     let more = open_message::<(u32, String, String)>(FrameKind::Membership, &sample(), &keys);
-    assert_eq!(more, Err(FrameError::BadPayload));
+    assert_eq!(more, Err(FrameError::InvalidPayload));
 }
 
-/// Symptom: half the fleet goes deaf during a key rotation. Sequence: processes switch to the
-/// new key at different times. Cause: a process that accepts its current key alone.
+/// Guards against a key rotation during which half the fleet rejects the other half: processes
+/// switch to the new key at different times, and a process that accepts only its current key drops
+/// their frames.
 #[test]
-fn processes_on_either_side_of_a_rotation_understand_each_other() {
+fn processes_before_and_after_a_rotation_accept_each_other() {
     let rings = [ring(&[1, 2]), ring(&[2, 1])];
     for sender in &rings {
         for receiver in &rings {
@@ -101,11 +102,14 @@
         }
     }
     let late = seal_message(FrameKind::Relay, &5_u8, &ring(&[1]));
-    assert_eq!(open_frame(&late, &ring(&[3, 2])), Err(FrameError::Forged));
+    assert_eq!(
+        open_frame(&late, &ring(&[3, 2])),
+        Err(FrameError::InvalidTag)
+    );
 }
 
 quickcheck! {
-    fn what_is_sealed_opens(payload: Vec<u8>) -> bool {
+    fn sealed_frames_open(payload: Vec<u8>) -> bool {
         let keys = ring(&[1]);
         let mut frame = Vec::new();
         seal_frame(FrameKind::Ledger, &keys, &mut frame, |out| out.extend_from_slice(&payload));
--- a/crates/wire/tests/all/main.rs
+++ b/crates/wire/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the messages between the system's own processes.
+//! Tests of the messages between the processes of the fleet.
 
 mod forward;
 mod frame;
--- a/crates/wire/tests/all/relay.rs
+++ b/crates/wire/tests/all/relay.rs
@@ -13,7 +13,7 @@
 use crate::support::ring;
 
 #[test]
-fn relay_messages_survive_the_wire() {
+fn relay_messages_round_trip() {
     let attempt = AttemptId(u128::MAX - 3);
     let load = GateReport {
         slots: 3,
@@ -69,7 +69,7 @@
         seal_frame(FrameKind::Relay, &keys, &mut frame, |out| out.extend_from_slice(&payload));
         match open_message::<RelayMessage>(FrameKind::Relay, &frame, &keys) {
             Ok(_) => true,
-            Err(error) => error == FrameError::BadPayload,
+            Err(error) => error == FrameError::InvalidPayload,
         }
     }
 }
--- a/crates/wire/tests/all/support.rs
+++ b/crates/wire/tests/all/support.rs
@@ -1,10 +1,10 @@
-//! What the tests share.
+//! Shared builders.
 
 use lovagelatch_keys::{FleetKeys, KeyGeneration, KeySecret};
 
-/// A ring of these generations, the first one current.
+/// Builds a key ring of these generations; the first one is current.
 pub(crate) fn ring(generations: &[u8]) -> FleetKeys {
     let secret = |&number: &u8| KeySecret::from_bytes(KeyGeneration(number), [number; 32]);
     let secrets: Vec<KeySecret> = generations.iter().map(secret).collect();
-    FleetKeys::new(&secrets).expect("the generations make a ring")
+    FleetKeys::new(&secrets).expect("the generations form a key ring")
 }
