--- a/bins/agent/src/backend/body.rs
+++ b/bins/agent/src/backend/body.rs
@@ -11,7 +11,7 @@
 use crate::backend::connection::BackendConnection;
 use crate::backend::link::BackendLink;
 use crate::exchange::{BodyCut, PIECE_TIMEOUT};
-use crate::gate::{SlotEnd, SlotGuard};
+use crate::gate::{SlotGuard, SlotOutcome};
 
 /// How the length of a body is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,7 +116,7 @@
     fn fail(&mut self) {
         self.connection = None;
         if let Some(slot) = self.slot.take() {
-            slot.finish(SlotEnd::Lost);
+            slot.finish(SlotOutcome::Lost);
         }
     }
 
@@ -144,7 +144,7 @@
             self.link.put_back(connection);
         }
         if let Some(slot) = self.slot.take() {
-            slot.finish(SlotEnd::Served);
+            slot.finish(SlotOutcome::Served);
         }
         Ok(None)
     }
--- a/bins/agent/src/backend/control.rs
+++ b/bins/agent/src/backend/control.rs
@@ -6,7 +6,7 @@
 use http::{Method, Request, StatusCode, header};
 use http_body_util::{BodyExt, Full, Limited};
 use lovagelatch_domain::AttemptId;
-use lovagelatch_placement::HealthWord;
+use lovagelatch_placement::HealthStatus;
 use serde::{Deserialize, Serialize};
 
 use crate::backend::connection::BackendConnection;
@@ -42,11 +42,11 @@
 }
 
 impl BackendHealth {
-    pub(crate) fn word(self) -> HealthWord {
+    pub(crate) fn word(self) -> HealthStatus {
         match self.state {
-            BackendState::Ready => HealthWord::Ready,
-            BackendState::Warming => HealthWord::Warming(Duration::from_millis(self.warming_ms)),
-            BackendState::Draining => HealthWord::Draining,
+            BackendState::Ready => HealthStatus::Ready,
+            BackendState::Warming => HealthStatus::Warming(Duration::from_millis(self.warming_ms)),
+            BackendState::Draining => HealthStatus::Draining,
         }
     }
 }
--- a/bins/agent/src/backend/link.rs
+++ b/bins/agent/src/backend/link.rs
@@ -16,7 +16,7 @@
 use crate::backend::control::CancelEnd;
 use crate::backend::read_ahead::AheadRoom;
 use crate::exchange::{Answer, AnswerBody, CallerRequest, Refusal};
-use crate::gate::{SlotEnd, SlotGuard};
+use crate::gate::{SlotGuard, SlotOutcome};
 use crate::headers;
 
 /// Connections kept for reuse.
@@ -130,7 +130,7 @@
         self: &Arc<Self>,
         attempt: AttemptId,
         slot: Option<SlotGuard>,
-        end: Option<SlotEnd>,
+        end: Option<SlotOutcome>,
     ) {
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
@@ -138,8 +138,8 @@
         let link = Arc::clone(self);
         runtime.spawn(async move {
             let cancelled = match link.cancel(attempt).await {
-                CancelEnd::Cancelled | CancelEnd::Refused => SlotEnd::Abandoned,
-                CancelEnd::NoAnswer => SlotEnd::Lost,
+                CancelEnd::Cancelled | CancelEnd::Refused => SlotOutcome::Abandoned,
+                CancelEnd::NoAnswer => SlotOutcome::Lost,
             };
             if let Some(slot) = slot {
                 slot.finish(end.unwrap_or(cancelled));
--- a/bins/agent/src/dispatch.rs
+++ b/bins/agent/src/dispatch.rs
@@ -7,7 +7,7 @@
 
 use lovagelatch_domain::{AgentAddress, AttemptId, GateCondition, RefusalReason};
 use lovagelatch_placement::{
-    AttemptAllowance, ExchangeEnd as PeerEnd, GateRequest, PlacementChoice,
+    AttemptAllowance, ExchangeOutcome as PeerEnd, GateRequest, PlacementChoice,
 };
 use lovagelatch_telemetry::{DecisionKind, info};
 use smallvec::SmallVec;
@@ -16,7 +16,7 @@
 use crate::agent::Agent;
 use crate::backend::{CancelEnd, ExchangeEnd};
 use crate::exchange::{AttemptEnd, CallerRequest, Refusal};
-use crate::gate::{Admission, SlotEnd, SlotGuard};
+use crate::gate::{Admission, SlotGuard, SlotOutcome};
 use crate::handed::{HandedOver, SentNote};
 use crate::metrics::reason_word;
 use crate::relay::{RelayEnd, RelayTerms, unreached};
@@ -80,8 +80,8 @@
         let allowance = request.allowance;
         let left = refusal
             .returned
-            .map_or(allowance, |returned| allowance.after(returned));
-        let left = left.retry()?;
+            .map_or(allowance, |returned| allowance.capped_by(returned));
+        let left = left.for_retry()?;
         let agency = request.agency.as_ref();
         let paid = self.budgets.lock().try_spend(agency, self.clock.now());
         paid.then_some(left)
@@ -90,7 +90,7 @@
     /// Counts a request's first attempt, by which its agency saves for further ones.
     pub(crate) fn note_request(&self, request: &CallerRequest) {
         let agency = request.agency.as_ref();
-        self.budgets.lock().note_request(agency, self.clock.now());
+        self.budgets.lock().record_request(agency, self.clock.now());
     }
 
     fn choose(&self, request: &CallerRequest, tried: &[AgentAddress]) -> PlacementChoice {
@@ -154,19 +154,19 @@
         match end {
             ExchangeEnd::Answered(answer) => AttemptEnd::Answered(handed.into_answer(answer)),
             ExchangeEnd::NotHandedOver => {
-                handed.close(SlotEnd::Lost);
+                handed.close(SlotOutcome::Lost);
                 let refusal = Refusal::new(RefusalReason::NoTarget, UNREACHED_RETRY);
                 AttemptEnd::NotRun(refusal)
             }
             ExchangeEnd::Shed(refusal) => {
-                handed.close(SlotEnd::Shed);
+                handed.close(SlotOutcome::Shed);
                 AttemptEnd::NotRun(refusal)
             }
             ExchangeEnd::Lost(reason) => {
                 self.metrics.answers.count("discarded");
                 info!(self.log, "answer lost"; "attempt" => handed.attempt.to_string(),
                     "reason" => format!("{reason:?}"));
-                handed.abandon(SlotEnd::Lost);
+                handed.abandon(SlotOutcome::Lost);
                 AttemptEnd::Unknown
             }
         }
@@ -197,8 +197,8 @@
             return self.settle(handed, end);
         }
         handed.close(match cancelled {
-            CancelEnd::Cancelled | CancelEnd::Refused => SlotEnd::Abandoned,
-            CancelEnd::NoAnswer => SlotEnd::Lost,
+            CancelEnd::Cancelled | CancelEnd::Refused => SlotOutcome::Abandoned,
+            CancelEnd::NoAnswer => SlotOutcome::Lost,
         });
         if cancelled == CancelEnd::Cancelled {
             AttemptEnd::NotRun(Refusal::new(RefusalReason::TooLate, UNREACHED_RETRY))
@@ -232,7 +232,7 @@
         };
         let seen = match &end {
             AttemptEnd::Answered(_) => PeerEnd::Answered {
-                took: sent.elapsed(),
+                response_time: sent.elapsed(),
                 report: None,
             },
             AttemptEnd::NotRun(refusal) => PeerEnd::Refused {
--- a/bins/agent/src/gate.rs
+++ b/bins/agent/src/gate.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use lovagelatch_domain::{AttemptId, GateCondition, GateReport, RefusalReason};
-pub(crate) use lovagelatch_placement::SlotEnd;
+pub(crate) use lovagelatch_placement::SlotOutcome;
 use lovagelatch_placement::{
-    GateAction, GateRequest, GateSettings, GateVerdict, RequestEvidence, RequestGate,
+    GateAction, GateRequest, GateSettings, GateVerdict, PassiveHealth, RequestGate,
 };
 use parking_lot::Mutex;
 use tokio::sync::{Notify, oneshot};
@@ -35,7 +35,7 @@
     /// Invariant: one entry for each queued attempt whose task still waits.
     waiting: HashMap<AttemptId, oneshot::Sender<Turn>>,
     /// How the newest requests ended, as evidence of whether the backend server works.
-    evidence: RequestEvidence,
+    evidence: PassiveHealth,
 }
 
 /// The gate, shared by all tasks.
@@ -66,7 +66,7 @@
         let state = GateState {
             gate: RequestGate::new(settings),
             waiting: HashMap::new(),
-            evidence: RequestEvidence::default(),
+            evidence: PassiveHealth::default(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
@@ -143,7 +143,7 @@
     }
 
     /// What own requests showed of the backend server lately.
-    pub(crate) fn evidence(&self) -> RequestEvidence {
+    pub(crate) fn evidence(&self) -> PassiveHealth {
         self.state.lock().evidence
     }
 
@@ -180,10 +180,10 @@
         }
     }
 
-    fn finish(&self, attempt: AttemptId, end: SlotEnd) {
+    fn finish(&self, attempt: AttemptId, end: SlotOutcome) {
         let mut state = self.state.lock();
         let now = self.clock.now();
-        state.evidence.note(end, now);
+        state.evidence.record(end, now);
         let actions = state.gate.finish(attempt, end, now);
         self.apply(&mut state, actions.into_iter());
         drop(state);
@@ -209,7 +209,7 @@
             if started && !heard {
                 let more = state
                     .gate
-                    .finish(attempt, SlotEnd::Abandoned, self.clock.now());
+                    .finish(attempt, SlotOutcome::Abandoned, self.clock.now());
                 pending.extend(more);
             }
         }
@@ -236,13 +236,13 @@
         let mut state = self.keeper.state.lock();
         state.waiting.remove(&self.attempt);
         let now = self.keeper.clock.now();
-        if state.gate.withdraw(self.attempt, now) {
+        if state.gate.cancel_queued(self.attempt, now) {
             return;
         }
         // The gate let it through while the task gave up. Without this the slot would stay in
         // use for ever, and the gate would serve one request fewer at a time from then on.
         if matches!(receiver.try_recv(), Ok(Turn::Start)) {
-            let actions = state.gate.finish(self.attempt, SlotEnd::Abandoned, now);
+            let actions = state.gate.finish(self.attempt, SlotOutcome::Abandoned, now);
             self.keeper.apply(&mut state, actions.into_iter());
         }
     }
@@ -258,7 +258,7 @@
 
 impl SlotGuard {
     /// Gives the slot back.
-    pub(crate) fn finish(mut self, end: SlotEnd) {
+    pub(crate) fn finish(mut self, end: SlotOutcome) {
         self.finished = true;
         self.keeper.finish(self.attempt, end);
     }
@@ -267,7 +267,7 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         if !self.finished {
-            self.keeper.finish(self.attempt, SlotEnd::Lost);
+            self.keeper.finish(self.attempt, SlotOutcome::Lost);
         }
     }
 }
--- a/bins/agent/src/handed.rs
+++ b/bins/agent/src/handed.rs
@@ -8,7 +8,7 @@
 use crate::agent::Agent;
 use crate::backend::{AheadBody, BackendLink};
 use crate::exchange::{Answer, AnswerBody};
-use crate::gate::{SlotEnd, SlotGuard};
+use crate::gate::{SlotGuard, SlotOutcome};
 
 /// A request that the backend server may have. Dropped while open, because its caller left, it
 /// is cancelled and its slot given back.
@@ -21,7 +21,7 @@
 
 impl HandedOver {
     /// Nothing of it remains at the backend server, as far as can be known.
-    pub(crate) fn close(&mut self, end: SlotEnd) {
+    pub(crate) fn close(&mut self, end: SlotOutcome) {
         self.open = false;
         if let Some(slot) = self.slot.take() {
             slot.finish(end);
@@ -30,7 +30,7 @@
 
     /// Its end is not known: the backend server is asked to cancel it, and the slot is given back
     /// once that is answered, as `end`.
-    pub(crate) fn abandon(mut self, end: SlotEnd) {
+    pub(crate) fn abandon(mut self, end: SlotOutcome) {
         self.open = false;
         self.link
             .cancel_later(self.attempt, self.slot.take(), Some(end));
--- a/bins/agent/src/headers.rs
+++ b/bins/agent/src/headers.rs
@@ -76,7 +76,7 @@
 pub(crate) fn allowance_of(value: Option<&[u8]>) -> AttemptAllowance {
     let text = value.and_then(|value| std::str::from_utf8(value).ok());
     let allowance = text.and_then(|text| AttemptAllowance::from_header(text).ok());
-    allowance.unwrap_or_else(|| AttemptAllowance::new().retry().unwrap_or_default())
+    allowance.unwrap_or_else(|| AttemptAllowance::new().for_retry().unwrap_or_default())
 }
 
 /// The attempts that a refusal brings back from further down, if it names any. An unreadable
--- a/bins/agent/src/placement.rs
+++ b/bins/agent/src/placement.rs
@@ -5,7 +5,7 @@
 use lovagelatch_domain::{AgentAddress, GateReport, Moment, PeerReport};
 use lovagelatch_fleet::FleetClient;
 use lovagelatch_placement::{
-    ExchangeEnd, GateCost, PeerPlacement, PlacementChoice, PlacementSettings, SUBSET_SIZE,
+    ExchangeOutcome, GateCost, PeerPlacement, PlacementChoice, PlacementSettings, SUBSET_SIZE,
 };
 use parking_lot::Mutex;
 
@@ -59,24 +59,24 @@
 
     pub(crate) fn sent(&self, peer: AgentAddress) {
         let now = self.now();
-        self.placement.lock().sent(peer, now);
+        self.placement.lock().record_sent(peer, now);
     }
 
     pub(crate) fn ended(&self, peer: AgentAddress) {
         let now = self.now();
-        self.placement.lock().ended(peer, now);
+        self.placement.lock().record_ended(peer, now);
     }
 
-    pub(crate) fn observed(&self, peer: AgentAddress, end: ExchangeEnd) {
+    pub(crate) fn observed(&self, peer: AgentAddress, end: ExchangeOutcome) {
         let now = self.now();
-        self.placement.lock().observed(peer, end, now);
+        self.placement.lock().record_outcome(peer, end, now);
     }
 
     /// Notes the load that came with the end of an answer or with a refusal.
     pub(crate) fn reported(&self, peer: AgentAddress, load: Option<GateReport>) {
         if let Some(load) = load {
             let now = self.now();
-            self.placement.lock().reported(peer, load, now);
+            self.placement.lock().record_report(peer, load, now);
         }
     }
 
--- a/bins/agent/src/upkeep.rs
+++ b/bins/agent/src/upkeep.rs
@@ -8,7 +8,7 @@
 use lovagelatch_domain::{AgentAddress, GateCondition};
 use lovagelatch_keys::read_key_file;
 use lovagelatch_membership::TargetStanding;
-use lovagelatch_placement::{HealthWord, believed_word, peer_subset};
+use lovagelatch_placement::{HealthStatus, peer_subset, trusted_status};
 use lovagelatch_telemetry::{DecisionKind, info, warn};
 
 use crate::agent::Agent;
@@ -67,7 +67,7 @@
 
 /// Follows the backend server's own announcement and the platform's list.
 ///
-/// Health answers lag and mislead, so own requests rank above them (`believed_word`). Silence
+/// Health answers lag and mislead, so own requests rank above them (`trusted_status`). Silence
 /// changes nothing, because requests themselves show sooner than any probe whether the backend
 /// server works.
 pub(crate) async fn keep_condition(agent: Arc<Agent>) {
@@ -78,14 +78,14 @@
         if let Some(health) = agent.backend.health().await {
             let word = health.word();
             let evidence = agent.gate.evidence();
-            let believed = believed_word(word, before, evidence, agent.clock.now());
+            let believed = trusted_status(word, before, evidence, agent.clock.now());
             before = Some(word);
             if let Some(word) = believed {
-                agent.leave(|causes| causes.backend = word == HealthWord::Draining);
+                agent.leave(|causes| causes.backend = word == HealthStatus::Draining);
                 warming = set_warming(&agent, warming, word);
-            } else if matches!(word, HealthWord::Warming(_)) {
+            } else if matches!(word, HealthStatus::Warming(_)) {
                 // Requests are answered: a warm-up believed before is over.
-                warming = set_warming(&agent, warming, HealthWord::Ready);
+                warming = set_warming(&agent, warming, HealthStatus::Ready);
             } else {
                 pause = CONFIRM_INTERVAL;
             }
@@ -96,11 +96,11 @@
     }
 }
 
-fn set_warming(agent: &Agent, was: bool, word: HealthWord) -> bool {
+fn set_warming(agent: &Agent, was: bool, word: HealthStatus) -> bool {
     if agent.drain.is_leaving() {
         return was;
     }
-    if let HealthWord::Warming(remaining) = word {
+    if let HealthStatus::Warming(remaining) = word {
         agent
             .gate
             .set_condition(GateCondition::Warming { remaining });
--- a/crates/placement/src/baseline.rs
+++ b/crates/placement/src/baseline.rs
@@ -1,7 +1,7 @@
-//! Common policies, as baselines for the experiments.
+//! Common load balancing policies, as baselines for the experiments.
 //!
-//! Each decides where [`crate::PeerPlacement`] does and with the same reports, so that a
-//! difference in results comes from the decision alone.
+//! Each replaces [`crate::PeerPlacement`] at the same point and with the same reports, so that
+//! differences in results come from the policy alone.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::policy::{ExchangeEnd, PlacementChoice, PlacementPolicy};
+use crate::policy::{ExchangeOutcome, PlacementChoice, PlacementPolicy};
 
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A way to pick one of several gates by their reports.
-trait Picker {
-    /// Picks an index into `gates`, which is not empty.
+/// Picks one of several gates by their reports.
+trait GatePicker {
+    /// Returns an index into `gates`, which is not empty.
     fn pick(&mut self, gates: &[(AgentAddress, GateReport)]) -> usize;
 }
 
-/// Runs a picker over the gates that are neither leaving nor tried.
+/// Runs a picker over the gates that are neither leaving nor already tried.
 fn choose_with(
-    picker: &mut impl Picker,
+    picker: &mut impl GatePicker,
     own_address: AgentAddress,
     own: &GateReport,
     peers: &[PeerReport],
@@ -39,7 +39,7 @@
     if gates.is_empty() {
         return PlacementChoice::Refuse {
             reason: RefusalReason::NoTarget,
-            retry_after: RETRY,
+            retry_after: RETRY_AFTER,
         };
     }
     let picked = gates[picker.pick(&gates)].0;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Requests per slot as reported.
+/// Returns the reported requests per slot.
 fn load_of(report: &GateReport) -> f64 {
     let requests = f64::from(report.in_use) + f64::from(report.queued);
     requests / f64::from(report.slots.max(1))
@@ -71,16 +71,22 @@
                 choose_with(self, own_address, own, peers, tried)
             }
 
-            fn sent(&mut self, _peer: AgentAddress, _now: Moment) {}
+            fn record_sent(&mut self, _peer: AgentAddress, _now: Moment) {}
 
-            fn ended(&mut self, _peer: AgentAddress, _now: Moment) {}
+            fn record_ended(&mut self, _peer: AgentAddress, _now: Moment) {}
 
-            fn observed(&mut self, _peer: AgentAddress, _end: ExchangeEnd, _now: Moment) {}
+            fn record_outcome(
+                &mut self,
+                _peer: AgentAddress,
+                _outcome: ExchangeOutcome,
+                _now: Moment,
+            ) {
+            }
         }
     };
 }
 
-/// Each gate in turn.
+/// Picks the gates in turn.
 #[derive(Clone, Debug)]
 pub struct RoundRobin {
     own: AgentAddress,
@@ -88,7 +94,7 @@
 }
 
 impl RoundRobin {
-    /// Starts at a place of its own, given by `seed`.
+    /// Creates a policy that starts at an offset derived from `seed`.
     #[must_use]
     pub const fn new(own: AgentAddress, seed: u64) -> Self {
         Self {
@@ -98,7 +104,7 @@
     }
 }
 
-impl Picker for RoundRobin {
+impl GatePicker for RoundRobin {
     fn pick(&mut self, gates: &[(AgentAddress, GateReport)]) -> usize {
         self.next = self.next.wrapping_add(1);
         self.next % gates.len()
@@ -107,7 +113,7 @@
 
 baseline_policy!(RoundRobin);
 
-/// A gate drawn at random.
+/// Picks a gate at random.
 #[derive(Clone, Debug)]
 pub struct RandomChoice {
     own: AgentAddress,
@@ -115,7 +121,7 @@
 }
 
 impl RandomChoice {
-    /// Draws from the sequence that `seed` gives.
+    /// Creates a policy with a random generator seeded by `seed`.
     #[must_use]
     pub fn new(own: AgentAddress, seed: u64) -> Self {
         Self {
@@ -125,7 +131,7 @@
     }
 }
 
-impl Picker for RandomChoice {
+impl GatePicker for RandomChoice {
     fn pick(&mut self, gates: &[(AgentAddress, GateReport)]) -> usize {
         self.random.random_range(0..gates.len())
     }
@@ -133,7 +139,7 @@
 
 baseline_policy!(RandomChoice);
 
-/// The gate whose report shows the least load, one of the least at random.
+/// Picks the gate with the least reported load, at random among equals.
 #[derive(Clone, Debug)]
 pub struct LeastLoad {
     own: AgentAddress,
@@ -141,7 +147,7 @@
 }
 
 impl LeastLoad {
-    /// Draws among equals from the sequence that `seed` gives.
+    /// Creates a policy whose random tie-breaking is seeded by `seed`.
     #[must_use]
     pub fn new(own: AgentAddress, seed: u64) -> Self {
         Self {
@@ -151,7 +157,7 @@
     }
 }
 
-impl Picker for LeastLoad {
+impl GatePicker for LeastLoad {
     fn pick(&mut self, gates: &[(AgentAddress, GateReport)]) -> usize {
         let loads = gates.iter().map(|(_, report)| load_of(report));
         let least = loads.clone().fold(f64::INFINITY, f64::min);
@@ -167,7 +173,7 @@
 
 baseline_policy!(LeastLoad);
 
-/// The one of two random gates whose report shows less load.
+/// Picks two gates at random and takes the one with less reported load.
 #[derive(Clone, Debug)]
 pub struct TwoChoices {
     own: AgentAddress,
@@ -175,7 +181,7 @@
 }
 
 impl TwoChoices {
-    /// Draws from the sequence that `seed` gives.
+    /// Creates a policy with a random generator seeded by `seed`.
     #[must_use]
     pub fn new(own: AgentAddress, seed: u64) -> Self {
         Self {
@@ -185,7 +191,7 @@
     }
 }
 
-impl Picker for TwoChoices {
+impl GatePicker for TwoChoices {
     fn pick(&mut self, gates: &[(AgentAddress, GateReport)]) -> usize {
         let first = self.random.random_range(0..gates.len());
         if gates.len() == 1 {
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -1,16 +1,16 @@
-//! How many attempts beyond the first may be made.
+//! Limits the attempts beyond the first.
 //!
-//! What goes wrong without it: a service fails, every request is tried three times, and the
-//! retries triple the load on what is left of it; along a chain of dependencies they multiply.
-//! Three rules prevent that:
+//! Without a limit, a failing service gets every request three times: the retries triple the load
+//! on what is left of it, and along a chain of dependencies they multiply. Three rules prevent
+//! that:
 //!
-//! * [`RetryBudget`] gives a share of recent requests to spend on retries; [`AgencyBudgets`]
-//!   keeps one for each agency, so that a rushing one does not spend its rivals'.
-//! * [`AttemptAllowance`] travels with a request through its dependencies. A retry carries less
-//!   of it, so that what a retry causes is not retried again further down.
-//! * It travels back with a refusal. The link next to the failure decides whether to retry, and
-//!   what it says is final for all links above: otherwise each link adds its share and the
-//!   shares multiply.
+//! * [`RetryBudget`] allows retries as a share of recent requests; [`AgencyBudgets`] keeps one
+//!   budget per agency, so that an agency under high load cannot spend the retries of others.
+//! * [`AttemptAllowance`] travels with a request through its dependencies. A retry carries a
+//!   smaller allowance, so that the requests it causes are not retried again downstream.
+//! * The allowance also travels back with a refusal. The hop next to the failure decides about
+//!   retries, and its decision binds all hops upstream; otherwise each hop would add its share and
+//!   the shares would multiply.
 
 use std::collections::HashMap;
 
@@ -19,30 +19,30 @@
 
 use crate::settings::BudgetSettings;
 
-/// The extra attempts that a fresh request may cause.
-const FRESH_ALLOWANCE: u8 = 1;
+/// Retries that a caller's request may cause.
+const INITIAL_ALLOWANCE: u8 = 1;
 
-/// The most that a header may claim.
-const MOST_ALLOWANCE: u8 = 3;
+/// Largest allowance accepted from a header.
+const MAX_ALLOWANCE: u8 = 3;
 
-/// A token bucket filled by requests, not by time.
+/// A token bucket that is filled by requests, not by time.
 ///
-/// What goes wrong without its reserve: the savings fade, so that a service with a request every
-/// few seconds never has a whole retry saved, and one shed request ends as a refusal although
-/// another gate is free. So one retry is paid for without savings when none was made for a
-/// `reserve_interval`; where requests are many this adds nothing.
+/// Saved tokens decay, so a service with one request every few seconds would never hold a whole
+/// token, and a shed request would end as a refusal although another gate is free. As a reserve,
+/// one retry needs no token if none was made for a `reserve_interval`. At high request rates the
+/// reserve adds practically nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
     /// Invariant: from 0 to `settings.burst`.
     tokens: f64,
     updated: Moment,
-    /// From when on one retry needs no savings.
+    /// From this moment on, one retry needs no token.
     reserve_at: Moment,
 }
 
 impl RetryBudget {
-    /// A budget with one retry saved.
+    /// Creates a budget whose first retry needs no saved token.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
@@ -53,15 +53,15 @@
         }
     }
 
-    /// Notes a request's first attempt.
-    pub fn note_request(&mut self, now: Moment) {
-        self.age(now);
-        self.tokens = (self.tokens + self.settings.share).min(self.settings.burst);
+    /// Records the first attempt of a request.
+    pub fn record_request(&mut self, now: Moment) {
+        self.decay(now);
+        self.tokens = (self.tokens + self.settings.retry_ratio).min(self.settings.burst);
     }
 
-    /// Pays for one more attempt. `false`: it must not be made.
+    /// Spends the budget for one more attempt. Returns `false` if the attempt must not be made.
     pub fn try_spend(&mut self, now: Moment) -> bool {
-        self.age(now);
+        self.decay(now);
         let is_saved = self.tokens >= 1.0;
         if !is_saved && now < self.reserve_at {
             return false;
@@ -73,29 +73,29 @@
         true
     }
 
-    /// Savings fade, so that a quiet hour does not pay for a storm.
-    fn age(&mut self, now: Moment) {
+    /// Saved tokens decay, so that an hour with few failures does not pay for a retry storm.
+    fn decay(&mut self, now: Moment) {
         let elapsed = now.since(self.updated).as_secs_f64();
-        let memory = self.settings.memory.as_secs_f64().max(1e-3);
-        self.tokens *= (-elapsed / memory).exp();
+        let decay_time = self.settings.decay_time.as_secs_f64().max(1e-3);
+        self.tokens *= (-elapsed / decay_time).exp();
         self.updated = self.updated.max(now);
     }
 }
 
-/// The most agencies that are told apart; further ones share one budget.
-const AGENCY_LIMIT: usize = 1_024;
+/// Upper bound of separate budgets; further agencies share one.
+const MAX_AGENCIES: usize = 1_024;
 
-/// A retry budget for each agency.
+/// One retry budget per agency.
 #[derive(Clone, Debug)]
 pub struct AgencyBudgets {
     settings: BudgetSettings,
-    /// For requests without an agency, and for agencies beyond the limit.
+    /// For requests without an agency, and for agencies beyond `MAX_AGENCIES`.
     shared: RetryBudget,
     agencies: HashMap<AgencyName, RetryBudget>,
 }
 
 impl AgencyBudgets {
-    /// Budgets with one retry saved each.
+    /// Creates budgets that each allow the first retry without a saved token.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
@@ -105,12 +105,13 @@
         }
     }
 
-    /// Notes a request's first attempt.
-    pub fn note_request(&mut self, agency: Option<&AgencyName>, now: Moment) {
-        self.budget(agency).note_request(now);
+    /// Records the first attempt of a request.
+    pub fn record_request(&mut self, agency: Option<&AgencyName>, now: Moment) {
+        self.budget(agency).record_request(now);
     }
 
-    /// Pays for one more attempt. `false`: it must not be made.
+    /// Spends the agency's budget for one more attempt. Returns `false` if the attempt must not be
+    /// made.
     pub fn try_spend(&mut self, agency: Option<&AgencyName>, now: Moment) -> bool {
         self.budget(agency).try_spend(now)
     }
@@ -120,7 +121,7 @@
             return &mut self.shared;
         };
         if !self.agencies.contains_key(agency) {
-            if self.agencies.len() >= AGENCY_LIMIT {
+            if self.agencies.len() >= MAX_AGENCIES {
                 return &mut self.shared;
             }
             let budget = RetryBudget::new(self.settings);
@@ -130,65 +131,65 @@
     }
 }
 
-/// Why a header was not an allowance.
+/// Why a header value was rejected as an allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AllowanceError {
-    /// It is not a small whole number.
-    #[error("not a number of attempts")]
+    /// The value is not an integer from 0 to 255.
+    #[error("attempt allowance is not an integer from 0 to 255")]
     NotANumber,
 }
 
-/// The extra attempts that a request and all it causes may still make on one path.
+/// The retries that a request, with all requests it causes, may still make on one path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptAllowance {
     left: u8,
 }
 
 impl AttemptAllowance {
-    /// The header in which it travels to backend servers and back to the gateway for
-    /// dependencies.
+    /// Header that carries the allowance to backend servers, and from there to the gateway with
+    /// requests to dependencies.
     pub const HEADER: &'static str = "lovagelatch-attempts-left";
 
-    /// The allowance of a caller's request.
+    /// Creates the allowance of a caller's request.
     #[must_use]
     pub const fn new() -> Self {
         Self {
-            left: FRESH_ALLOWANCE,
+            left: INITIAL_ALLOWANCE,
         }
     }
 
-    /// Reads the header's value. A larger claim than any agent makes counts as the largest.
+    /// Parses the header value. Values above the largest valid allowance are reduced to it.
     ///
     /// # Errors
     ///
-    /// [`AllowanceError::NotANumber`]; treat such a request as one without extra attempts.
+    /// Returns [`AllowanceError::NotANumber`]; treat such a request as one without retries.
     pub fn from_header(text: &str) -> Result<Self, AllowanceError> {
         let left: u8 = text.parse().map_err(|_| AllowanceError::NotANumber)?;
         Ok(Self::from_left(left))
     }
 
-    /// The allowance that another agent tells. A larger claim than any agent makes counts as
-    /// the largest.
+    /// Creates the allowance that another agent sent. Values above the largest valid allowance are
+    /// reduced to it.
     #[must_use]
     pub const fn from_left(left: u8) -> Self {
         Self {
-            left: if left < MOST_ALLOWANCE {
+            left: if left < MAX_ALLOWANCE {
                 left
             } else {
-                MOST_ALLOWANCE
+                MAX_ALLOWANCE
             },
         }
     }
 
-    /// The allowance of a request that must not be tried again.
+    /// The allowance of a request that must not be retried.
     #[must_use]
     pub const fn none() -> Self {
         Self { left: 0 }
     }
 
-    /// What is left after a refusal came back with `returned` from further down.
+    /// Returns the smaller of this allowance and the one that came back with a refusal.
     #[must_use]
-    pub const fn after(self, returned: Self) -> Self {
+    pub const fn capped_by(self, returned: Self) -> Self {
         if returned.left < self.left {
             returned
         } else {
@@ -196,15 +197,15 @@
         }
     }
 
-    /// The header's value.
+    /// Returns the number of retries left, which is the header value.
     #[must_use]
     pub const fn left(self) -> u8 {
         self.left
     }
 
-    /// The allowance that the next attempt carries, or `None` when none may be made.
+    /// Returns the allowance that the next attempt carries, or `None` if no attempt is left.
     #[must_use]
-    pub const fn retry(self) -> Option<Self> {
+    pub const fn for_retry(self) -> Option<Self> {
         match self.left.checked_sub(1) {
             Some(left) => Some(Self { left }),
             None => None,
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -1,41 +1,41 @@
-//! How long a request holds a slot.
+//! Estimates how long a request holds a slot.
 
 use std::time::Duration;
 
-/// Weight of the newest sample once enough were seen.
-const SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
+/// Weight of the latest sample in the moving mean, once enough samples are recorded.
+const MIN_SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
 
-/// A sample counts at most this many times the mean. Service times have heavy tails; without
-/// the bound one request of minutes would make the gate refuse everything for a while.
-const CLIP_FACTOR: f64 = 10.0;
+/// Samples are clipped to this multiple of the mean. Service times are heavy-tailed; without the
+/// clipping, a single request of several minutes would make the gate refuse everything for a while.
+const SAMPLE_CLIP_FACTOR: f64 = 10.0;
 
-/// How many samples the first guess counts as.
+/// Number of samples that the initial value counts as.
 const PRIOR_SAMPLES: f64 = 2.0;
 
-/// Floor of the estimate, in seconds.
-const FLOOR: f64 = 1e-6;
+/// Lower bound of the mean, in seconds.
+const MIN_MEAN_SECONDS: f64 = 1e-6;
 
-/// A moving mean of service times that one extreme sample cannot throw off.
+/// A moving mean of service times that is robust against outliers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ServiceEstimate {
-    /// In seconds. Invariant: finite and at least `FLOOR`.
+    /// In seconds. Invariant: finite and at least `MIN_MEAN_SECONDS`.
     mean: f64,
     samples: f64,
 }
 
 impl ServiceEstimate {
-    pub(crate) fn new(first: Duration) -> Self {
+    pub(crate) fn new(initial: Duration) -> Self {
         Self {
-            mean: first.as_secs_f64().max(FLOOR),
+            mean: initial.as_secs_f64().max(MIN_MEAN_SECONDS),
             samples: PRIOR_SAMPLES,
         }
     }
 
-    pub(crate) fn note(&mut self, sample: Duration) {
-        let sample = sample.as_secs_f64().min(self.mean * CLIP_FACTOR);
+    pub(crate) fn record(&mut self, sample: Duration) {
+        let sample = sample.as_secs_f64().min(self.mean * SAMPLE_CLIP_FACTOR);
         self.samples += 1.0;
-        let weight = (1.0 / self.samples).max(SAMPLE_WEIGHT);
-        self.mean = (self.mean + weight * (sample - self.mean)).max(FLOOR);
+        let weight = (1.0 / self.samples).max(MIN_SAMPLE_WEIGHT);
+        self.mean = (self.mean + weight * (sample - self.mean)).max(MIN_MEAN_SECONDS);
     }
 
     pub(crate) fn mean(&self) -> f64 {
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request would go where it goes, for operators.
+//! Explains to operators how the gates rank for a new request.
 
 use std::time::Duration;
 
@@ -8,22 +8,23 @@
 
 use crate::peers::PeerPlacement;
 
-/// What a request would cost at one gate.
+/// The expected cost of a new request at one gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateCost {
-    /// The agent whose gate it is.
+    /// The agent that runs the gate.
     pub agent: AgentAddress,
     /// Expected time until the request would start.
     pub wait: Duration,
-    /// What the gate is compared by: the wait, the way there, and suspicion.
+    /// The value by which gates are compared: the wait plus the round trip, plus a penalty while
+    /// the agent is suspected.
     pub cost: Duration,
 }
 
 impl PeerPlacement {
-    /// What a request that came now would cost at each gate that may take it, least first.
+    /// Returns the cost of a new request at each eligible gate, cheapest first.
     ///
-    /// Decides nothing: who was chosen before, which breaks ties among gates that cost about the
-    /// same, is left out.
+    /// Changes no placement state. Leaves out the credits that break ties among gates of about
+    /// equal cost, so the first entry need not be the gate that `choose` returns.
     pub fn costs(
         &mut self,
         own: &GateReport,
@@ -35,8 +36,8 @@
             .iter()
             .map(|candidate| GateCost {
                 agent: candidate.agent,
-                wait: seconds(candidate.wait),
-                cost: seconds(candidate.cost),
+                wait: clamped_duration(candidate.wait),
+                cost: clamped_duration(candidate.cost),
             })
             .collect();
         costs.sort_by_key(|gate| gate.cost);
@@ -44,7 +45,7 @@
     }
 }
 
-/// A cost may be below zero by a hair, or beyond what a duration holds.
-fn seconds(value: f64) -> Duration {
+/// Rounding can make a cost slightly negative, and a cost can exceed the range of `Duration`.
+fn clamped_duration(value: f64) -> Duration {
     Duration::try_from_secs_f64(value.max(0.0)).unwrap_or(Duration::MAX)
 }
--- a/crates/placement/src/gate.rs
+++ b/crates/placement/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate beside one backend server: the one place where its slots are counted.
+//! The gate beside one backend server: the only place where its slots are counted.
 
 mod admission;
 mod forecast;
@@ -8,13 +8,13 @@
 use lovagelatch_domain::{AgencyName, AttemptId, GateCondition, GateReport, Moment, RefusalReason};
 use smallvec::SmallVec;
 
-use crate::class::WaitingRequest;
+use crate::agency_queue::WaitingRequest;
 use crate::estimate::ServiceEstimate;
 use crate::limit::SlotLimit;
 use crate::queue::FairQueue;
-use crate::retry::{LEAST_RETRY, RetrySchedule};
+use crate::retry::{MIN_RETRY_AFTER, RetrySchedule};
 use crate::settings::GateSettings;
-use crate::verdict::{GateAction, GateRequest, GateVerdict, SlotEnd};
+use crate::verdict::{GateAction, GateRequest, GateVerdict, SlotOutcome};
 
 #[derive(Clone, Debug)]
 struct RunningRequest {
@@ -25,7 +25,7 @@
     charge: f64,
 }
 
-/// Counts the slots of one backend server and queues what waits for them.
+/// Counts the slots of one backend server and queues the requests that wait for them.
 #[derive(Clone, Debug)]
 pub struct RequestGate {
     settings: GateSettings,
@@ -36,16 +36,16 @@
     limit: SlotLimit,
     retries: RetrySchedule,
     condition: GateCondition,
-    /// When the condition was set.
+    /// When `condition` was set.
     condition_since: Moment,
 }
 
 impl RequestGate {
-    /// An open gate with all slots free.
+    /// Creates an open gate with all slots free.
     #[must_use]
     pub fn new(settings: GateSettings) -> Self {
         Self {
-            estimate: ServiceEstimate::new(settings.first_service_time),
+            estimate: ServiceEstimate::new(settings.initial_service_time),
             limit: SlotLimit::new(settings.slots),
             settings,
             queue: FairQueue::default(),
@@ -56,21 +56,21 @@
         }
     }
 
-    /// Decides about a new request at once.
+    /// Decides immediately whether a new request starts, is queued, or is refused.
     pub fn offer(&mut self, request: GateRequest, now: Moment) -> GateVerdict {
         if self.holds(request.attempt) {
             return GateVerdict::Duplicate;
         }
-        self.limit.raise(now);
-        if let Some(reason) = self.refusal_of(&request, now) {
-            let retry_after = self.advise(&request, reason, now);
+        self.limit.raise_if_due(now);
+        if let Some(reason) = self.refusal_reason(&request, now) {
+            let retry_after = self.retry_after(&request, reason, now);
             return GateVerdict::Refused {
                 reason,
                 retry_after,
             };
         }
         if self.has_free_slot() && self.queue.is_empty() {
-            self.start_at_once(request, now);
+            self.start_immediately(request, now);
             return GateVerdict::Start;
         }
         let waiting = WaitingRequest {
@@ -81,16 +81,19 @@
         GateVerdict::Queued
     }
 
-    /// Takes back the slot of an attempt and says what follows. An attempt that holds no slot
-    /// changes nothing.
+    /// Releases the slot of an attempt and returns the resulting actions. Does nothing for an
+    /// attempt that holds no slot.
     pub fn finish(
         &mut self,
         attempt: AttemptId,
-        end: SlotEnd,
+        outcome: SlotOutcome,
         now: Moment,
     ) -> SmallVec<[GateAction; 4]> {
         let mut actions = SmallVec::new();
-        let position = self.running.iter().position(|one| one.attempt == attempt);
+        let position = self
+            .running
+            .iter()
+            .position(|running| running.attempt == attempt);
         let Some(position) = position else {
             return actions;
         };
@@ -103,32 +106,34 @@
             self.estimate.mean(),
         );
         let still_running = u16::try_from(self.running.len()).unwrap_or(u16::MAX);
-        match end {
-            SlotEnd::Served => {
-                self.estimate.note(took);
-                self.limit.served(now);
+        match outcome {
+            SlotOutcome::Served => {
+                self.estimate.record(took);
+                self.limit.record_served(now);
             }
-            SlotEnd::Shed => self.limit.shed(still_running, now),
-            SlotEnd::Lost => self.limit.lost(still_running, now),
-            SlotEnd::Abandoned => {}
+            SlotOutcome::Shed => self.limit.record_shed(still_running, now),
+            SlotOutcome::Lost => self.limit.record_lost(still_running, now),
+            SlotOutcome::Abandoned => {}
         }
-        self.pump(now, &mut actions);
+        self.process_queue(now, &mut actions);
         actions
     }
 
-    /// Withdraws a waiting attempt. `true`: it waited, was never started and never will be.
-    pub fn withdraw(&mut self, attempt: AttemptId, _now: Moment) -> bool {
-        self.queue.withdraw(attempt)
+    /// Removes an attempt from the queue. Returns `true` if it was queued: it was not started and
+    /// never will be.
+    pub fn cancel_queued(&mut self, attempt: AttemptId, _now: Moment) -> bool {
+        self.queue.cancel(attempt)
     }
 
-    /// Does what time alone brings: refuses what can no longer be met, starts what may start.
+    /// Performs the actions that are due by time alone: refuses requests that can no longer be
+    /// answered in time, and starts those that may start.
     pub fn advance(&mut self, now: Moment) -> SmallVec<[GateAction; 4]> {
         let mut actions = SmallVec::new();
-        self.pump(now, &mut actions);
+        self.process_queue(now, &mut actions);
         actions
     }
 
-    /// When `advance` has something to do at the latest, if nothing else happens.
+    /// Returns the latest time for the next call of `advance` if no other event occurs.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Moment> {
         let start_by = self.queue.earliest_start_by();
@@ -138,12 +143,12 @@
             .filter(|_| !self.queue.is_empty() && self.condition == GateCondition::Open);
         match (start_by, raise) {
             (Some(start_by), Some(raise)) => Some(start_by.min(raise)),
-            (one, other) => one.or(other),
+            (first, second) => first.or(second),
         }
     }
 
-    /// Opens the gate, marks it as warming, or closes it for good work. Leaving refuses all
-    /// that waits, so that its holders try elsewhere at once.
+    /// Sets the gate to open, warming, or leaving. Leaving refuses all queued requests, so that
+    /// their flow holders try another gate at once.
     pub fn set_condition(
         &mut self,
         condition: GateCondition,
@@ -157,16 +162,16 @@
                 actions.push(GateAction::Refuse {
                     attempt: waiting.attempt,
                     reason: RefusalReason::Leaving,
-                    retry_after: LEAST_RETRY,
+                    retry_after: MIN_RETRY_AFTER,
                 });
                 false
             });
         }
-        self.pump(now, &mut actions);
+        self.process_queue(now, &mut actions);
         actions
     }
 
-    /// The gate's load now, exact, for peers and status.
+    /// Returns the exact current load, for peers and for status reports.
     #[must_use]
     pub fn report(&self, now: Moment) -> GateReport {
         let in_use = u16::try_from(self.running.len()).unwrap_or(u16::MAX);
@@ -175,21 +180,24 @@
             in_use,
             queued: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
             expected_wait: self.wait_behind(self.queue.len(), now),
-            service_time: Duration::from_secs_f64(self.service_seconds(now)),
+            service_time: Duration::from_secs_f64(self.effective_service_seconds(now)),
             condition: self.condition_now(now),
         }
     }
 
-    /// Whether an attempt waits or runs here.
+    /// Returns whether an attempt is queued or running here.
     #[must_use]
     pub fn holds(&self, attempt: AttemptId) -> bool {
-        self.running.iter().any(|one| one.attempt == attempt) || self.queue.contains(attempt)
+        self.running
+            .iter()
+            .any(|running| running.attempt == attempt)
+            || self.queue.contains(attempt)
     }
 
-    fn start_at_once(&mut self, request: GateRequest, now: Moment) {
+    fn start_immediately(&mut self, request: GateRequest, now: Moment) {
         let agency = request.agency;
         let charge = self.estimate.mean();
-        self.queue.start_at_once(agency.clone(), charge);
+        self.queue.start_immediately(agency.clone(), charge);
         self.running.push(RunningRequest {
             attempt: request.attempt,
             agency,
@@ -198,9 +206,9 @@
         });
     }
 
-    fn pump(&mut self, now: Moment, actions: &mut SmallVec<[GateAction; 4]>) {
-        self.limit.raise(now);
-        self.refuse_hopeless(now, actions);
+    fn process_queue(&mut self, now: Moment, actions: &mut SmallVec<[GateAction; 4]>) {
+        self.limit.raise_if_due(now);
+        self.refuse_unservable(now, actions);
         while self.has_free_slot() {
             let Some(taken) = self.queue.pop(self.estimate.mean()) else {
                 return;
@@ -215,12 +223,12 @@
         }
     }
 
-    /// Refuses what waits too close to its deadline. A process that paused (stopped by the
-    /// kernel, moved to another host) wakes with a queue whose callers are gone; without this
-    /// it would run their requests although they were told that they failed.
-    fn refuse_hopeless(&mut self, now: Moment, actions: &mut SmallVec<[GateAction; 4]>) {
-        let setup = self.setup_left(now);
-        let earliest_start = now + setup;
+    /// Refuses queued requests that cannot start in time. A process that was paused (stopped by the
+    /// kernel, or migrated to another host) resumes with a queue whose callers are gone; without
+    /// this check it would run requests already reported as failed.
+    fn refuse_unservable(&mut self, now: Moment, actions: &mut SmallVec<[GateAction; 4]>) {
+        let warmup = self.warmup_remaining(now);
+        let earliest_start = now + warmup;
         let is_due = self
             .queue
             .earliest_start_by()
@@ -228,9 +236,9 @@
         if !is_due {
             return;
         }
-        let spacing = self.spacing(now);
-        let wait = self.limit_left(now) + setup;
-        let reason = if setup.is_zero() {
+        let completion_interval = self.completion_interval(now);
+        let wait = self.limit_remaining(now) + warmup;
+        let reason = if warmup.is_zero() {
             RefusalReason::TooLate
         } else {
             RefusalReason::Warming
@@ -242,7 +250,12 @@
                 actions.push(GateAction::Refuse {
                     attempt: waiting.attempt,
                     reason,
-                    retry_after: retries.advise(waiting.attempt, wait, spacing, now),
+                    retry_after: retries.next_retry_after(
+                        waiting.attempt,
+                        wait,
+                        completion_interval,
+                        now,
+                    ),
                 });
             }
             keep
--- a/crates/placement/src/gate/admission.rs
+++ b/crates/placement/src/gate/admission.rs
@@ -1,33 +1,37 @@
-//! Which requests a gate takes in, and what it advises the others.
+//! Admission control of a gate, and the retry-after time of refused requests.
 
 use std::time::Duration;
 
 use lovagelatch_domain::{AgencyName, GateCondition, Moment, RefusalReason};
 
 use super::RequestGate;
-use crate::retry::LEAST_RETRY;
+use crate::retry::MIN_RETRY_AFTER;
 use crate::verdict::GateRequest;
 
-/// A waiting request must start while this many mean service times still fit before its
-/// deadline. Without it a gate under overload spends its slots on requests whose callers leave
-/// before the answer; with more of it, the queue holds too little to ride out a burst.
-const FIT_FACTOR: f64 = 3.0;
+/// A queued request must start while this many mean service times are left before its deadline.
+/// With a smaller margin, a gate under overload spends its slots on requests whose callers leave
+/// before the answer; with a larger one, the queue is too short to absorb a burst.
+const DEADLINE_MARGIN_SERVICE_TIMES: f64 = 3.0;
 
-/// At most this share of the time that a caller gives a request is kept for its service.
-const FIT_SHARE: f64 = 0.5;
+/// Upper limit of the deadline margin, as a share of the request's total time budget.
+const MAX_DEADLINE_MARGIN_SHARE: f64 = 0.5;
 
-/// For how long an agency's queue must not have been empty to count as standing, in mean service
-/// times. Bursts at a load below capacity are over sooner, mostly.
-const STANDING_TIME: f64 = 100.0;
+/// An agency's queue is a standing queue once it has been non-empty for this long, in mean service
+/// times. Bursts at a load below capacity are usually over sooner.
+const STANDING_AFTER_SERVICE_TIMES: f64 = 100.0;
 
-/// The longest expected wait in a standing queue, in mean service times.
-const STANDING_WAIT: f64 = 10.0;
+/// Longest expected wait in a standing queue, in mean service times.
+const MAX_STANDING_WAIT_SERVICE_TIMES: f64 = 10.0;
 
-/// All queues together hold at most this many times the limit of one.
-const TOTAL_FACTOR: usize = 4;
+/// Capacity of all queues together, as a multiple of the limit of one queue.
+const TOTAL_QUEUE_FACTOR: usize = 4;
 
 impl RequestGate {
-    pub(super) fn refusal_of(&self, request: &GateRequest, now: Moment) -> Option<RefusalReason> {
+    pub(super) fn refusal_reason(
+        &self,
+        request: &GateRequest,
+        now: Moment,
+    ) -> Option<RefusalReason> {
         if self.condition == GateCondition::Leaving {
             return Some(RefusalReason::Leaving);
         }
@@ -37,8 +41,8 @@
         if self.has_free_slot() && self.queue.is_empty() {
             return None;
         }
-        if self.fits(request, now) {
-            return self.overflow_of(request);
+        if self.is_servable(request, now) {
+            return self.queue_overflow(request);
         }
         if matches!(self.condition, GateCondition::Warming { .. }) {
             return Some(RefusalReason::Warming);
@@ -46,84 +50,89 @@
         if self.is_over_share(request.agency.as_ref()) {
             return Some(RefusalReason::OverShare);
         }
-        if self.meets_deadline(request, now) {
+        if self.starts_in_time(request, now) {
             return Some(RefusalReason::Full);
         }
         Some(RefusalReason::TooLate)
     }
 
-    pub(super) fn fits(&self, request: &GateRequest, now: Moment) -> bool {
+    pub(super) fn is_servable(&self, request: &GateRequest, now: Moment) -> bool {
         let agency = request.agency.as_ref();
-        let wait = self.wait_behind(self.queue.ahead_of(agency), now);
-        let is_short = self
-            .wait_bound(agency, now)
-            .is_none_or(|bound| wait < bound);
-        is_short && now + wait < self.start_by(request)
+        let wait = self.wait_behind(self.queue.queued_ahead_of(agency), now);
+        let is_admitted = self
+            .standing_wait_limit(agency, now)
+            .is_none_or(|limit| wait < limit);
+        is_admitted && now + wait < self.start_by(request)
     }
 
-    fn meets_deadline(&self, request: &GateRequest, now: Moment) -> bool {
-        let ahead = self.queue.ahead_of(request.agency.as_ref());
+    fn starts_in_time(&self, request: &GateRequest, now: Moment) -> bool {
+        let ahead = self.queue.queued_ahead_of(request.agency.as_ref());
         now + self.wait_behind(ahead, now) < self.start_by(request)
     }
 
-    /// The longest expected wait of an agency whose queue stands, that is whose queue was not
-    /// empty for long. A burst is waited out; a standing queue makes everybody wait and serves
-    /// nobody more. Rivals that cause no standing queue are not bounded.
-    fn wait_bound(&self, agency: Option<&AgencyName>, now: Moment) -> Option<Duration> {
-        let since = self.queue.waits_since(agency)?.max(self.condition_since);
+    /// Returns the longest expected wait admitted for an agency with a standing queue; `None` if
+    /// its queue is not standing. A burst is queued in full. A standing queue delays every request
+    /// without raising throughput, so it is kept short. Competing agencies without a standing queue
+    /// are not limited.
+    fn standing_wait_limit(&self, agency: Option<&AgencyName>, now: Moment) -> Option<Duration> {
+        let since = self
+            .queue
+            .backlogged_since(agency)?
+            .max(self.condition_since);
         let mean = self.estimate.mean();
-        let stands = now.since(since).as_secs_f64() > mean * STANDING_TIME;
-        let bound = Duration::from_secs_f64(mean * STANDING_WAIT);
-        let blocked = self.setup_left(now) + self.limit_left(now);
-        stands.then_some(bound + blocked)
+        let is_standing = now.since(since).as_secs_f64() > mean * STANDING_AFTER_SERVICE_TIMES;
+        let limit = Duration::from_secs_f64(mean * MAX_STANDING_WAIT_SERVICE_TIMES);
+        let blocked = self.warmup_remaining(now) + self.limit_remaining(now);
+        is_standing.then_some(limit + blocked)
     }
 
-    pub(super) fn overflow_of(&self, request: &GateRequest) -> Option<RefusalReason> {
+    pub(super) fn queue_overflow(&self, request: &GateRequest) -> Option<RefusalReason> {
         let agency = request.agency.as_ref();
-        if self.queue.len() >= self.settings.queue_limit * TOTAL_FACTOR {
+        if self.queue.len() >= self.settings.queue_limit * TOTAL_QUEUE_FACTOR {
             return Some(RefusalReason::Full);
         }
-        if self.queue.backlog(agency) < self.share_of(agency) {
+        if self.queue.backlog(agency) < self.queue_share(agency) {
             return None;
         }
-        if self.queue.rivals_and_self(agency) > 1 {
+        if self.queue.waiting_agencies_with(agency) > 1 {
             return Some(RefusalReason::OverShare);
         }
         Some(RefusalReason::Full)
     }
 
     pub(super) fn is_over_share(&self, agency: Option<&AgencyName>) -> bool {
-        let agencies = self.queue.rivals_and_self(agency);
+        let agencies = self.queue.waiting_agencies_with(agency);
         agencies > 1 && self.queue.backlog(agency) * agencies >= self.queue.len()
     }
 
-    pub(super) fn share_of(&self, agency: Option<&AgencyName>) -> usize {
-        (self.settings.queue_limit / self.queue.rivals_and_self(agency)).max(1)
+    pub(super) fn queue_share(&self, agency: Option<&AgencyName>) -> usize {
+        (self.settings.queue_limit / self.queue.waiting_agencies_with(agency)).max(1)
     }
 
-    pub(super) fn advise(
+    pub(super) fn retry_after(
         &mut self,
         request: &GateRequest,
         reason: RefusalReason,
         now: Moment,
     ) -> Duration {
         match reason {
-            RefusalReason::Leaving => LEAST_RETRY,
-            RefusalReason::Warming => self.setup_left(now).max(LEAST_RETRY),
+            RefusalReason::Leaving => MIN_RETRY_AFTER,
+            RefusalReason::Warming => self.warmup_remaining(now).max(MIN_RETRY_AFTER),
             _ => {
-                let ahead = self.queue.ahead_of(request.agency.as_ref());
-                let patience = request.deadline.since(request.arrived);
-                let wait = self.wait_behind(ahead, now).saturating_sub(patience);
-                let spacing = self.spacing(now);
-                self.retries.advise(request.attempt, wait, spacing, now)
+                let ahead = self.queue.queued_ahead_of(request.agency.as_ref());
+                let time_budget = request.deadline.since(request.arrived);
+                let wait = self.wait_behind(ahead, now).saturating_sub(time_budget);
+                let completion_interval = self.completion_interval(now);
+                self.retries
+                    .next_retry_after(request.attempt, wait, completion_interval, now)
             }
         }
     }
 
-    /// When a request must have started to be answered in time, as far as can be foretold.
+    /// Returns the latest start at which the request is still expected to be answered in time.
     pub(super) fn start_by(&self, request: &GateRequest) -> Moment {
-        let patience = request.deadline.since(request.arrived);
-        let usual = Duration::from_secs_f64(self.estimate.mean() * FIT_FACTOR);
-        request.deadline - usual.min(patience.mul_f64(FIT_SHARE))
+        let time_budget = request.deadline.since(request.arrived);
+        let margin = Duration::from_secs_f64(self.estimate.mean() * DEADLINE_MARGIN_SERVICE_TIMES);
+        request.deadline - margin.min(time_budget.mul_f64(MAX_DEADLINE_MARGIN_SHARE))
     }
 }
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,73 +1,73 @@
-//! When a backend server's own announcement about its health is believed.
+//! Decides when the health that a backend server reports is trusted.
 //!
-//! What goes wrong without it: a health endpoint that lags or misleads says "warming" while the
-//! server answers requests. The gate then stops for seconds, again and again, and the other
-//! gates carry its work. What was measured on own requests cannot be talked away, so it ranks
-//! above the word:
+//! A health endpoint that lags or misleads reports "warming" while the server answers requests. If
+//! the gate trusted it, the gate would stop for seconds at a time, repeatedly, and the other gates
+//! would carry its load. The outcomes of own requests are measured, so they take precedence over
+//! the report:
 //!
 //! ```text
-//!   word       believed
+//!   status     trusted
 //!   ready      at once
-//!   warming    unless an own request was answered lately, with no failure since
-//!   draining   from the second read in a row on; one false read must not move all flows
+//!   warming    unless an own request was answered recently and none failed since
+//!   draining   from the second consecutive read on; one false read must not move all flows
 //! ```
 
 use std::time::Duration;
 
 use lovagelatch_domain::Moment;
 
-use crate::verdict::SlotEnd;
+use crate::verdict::SlotOutcome;
 
-/// How long an answer speaks against "warming". A server that starts anew fails requests first,
-/// and a failure ends it sooner.
-const ANSWER_KEPT: Duration = Duration::from_secs(5);
+/// How long an answer overrides "warming". A server that restarts fails requests first, and a
+/// failure clears the answer before this time is over.
+const ANSWER_TTL: Duration = Duration::from_secs(5);
 
-/// What a backend server says of itself.
+/// The health that a backend server reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HealthWord {
-    /// It takes requests.
+pub enum HealthStatus {
+    /// The server accepts requests.
     Ready,
-    /// It is starting; this is the time it expects to need.
+    /// The server is starting; holds the remaining time that it expects.
     Warming(Duration),
-    /// It finishes what it has.
+    /// The server finishes its open requests and accepts no new work.
     Draining,
 }
 
-/// How the newest own requests to a backend server ended.
+/// Passive health check: the outcomes of the latest own requests to a backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RequestEvidence {
-    /// The newest answer, if nothing failed since.
+pub struct PassiveHealth {
+    /// Time of the latest answer; `None` once a request has failed since.
     answered: Option<Moment>,
 }
 
-impl RequestEvidence {
-    /// Notes how a request gave its slot back.
-    pub fn note(&mut self, end: SlotEnd, now: Moment) {
-        match end {
-            SlotEnd::Served => self.answered = Some(now),
-            SlotEnd::Shed | SlotEnd::Lost => self.answered = None,
-            SlotEnd::Abandoned => {}
+impl PassiveHealth {
+    /// Records the outcome of a request that released its slot.
+    pub fn record(&mut self, outcome: SlotOutcome, now: Moment) {
+        match outcome {
+            SlotOutcome::Served => self.answered = Some(now),
+            SlotOutcome::Shed | SlotOutcome::Lost => self.answered = None,
+            SlotOutcome::Abandoned => {}
         }
     }
 
-    fn shows_work(self, now: Moment) -> bool {
+    fn answers_recently(self, now: Moment) -> bool {
         self.answered
-            .is_some_and(|answered| now.since(answered) < ANSWER_KEPT)
+            .is_some_and(|answered| now.since(answered) < ANSWER_TTL)
     }
 }
 
-/// What to act on, given the newest word and the one read before it. `None`: nothing new is
-/// known, and what was believed before stays.
+/// Returns the status to act on, given the latest read and the one before it. Returns `None` if the
+/// read is not trusted; the status in force then stays.
 #[must_use]
-pub fn believed_word(
-    word: HealthWord,
-    before: Option<HealthWord>,
-    evidence: RequestEvidence,
+pub fn trusted_status(
+    status: HealthStatus,
+    previous: Option<HealthStatus>,
+    passive: PassiveHealth,
     now: Moment,
-) -> Option<HealthWord> {
-    match word {
-        HealthWord::Ready => Some(word),
-        HealthWord::Warming(_) => (!evidence.shows_work(now)).then_some(word),
-        HealthWord::Draining => (before == Some(HealthWord::Draining)).then_some(word),
+) -> Option<HealthStatus> {
+    match status {
+        HealthStatus::Ready => Some(status),
+        HealthStatus::Warming(_) => (!passive.answers_recently(now)).then_some(status),
+        HealthStatus::Draining => (previous == Some(HealthStatus::Draining)).then_some(status),
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,32 +1,33 @@
-//! Decisions about new requests under load.
+//! Admission control and placement of new requests under load.
 //!
-//! This library decides; it reads no clock, opens no socket and starts no thread. Messages and
-//! the time come in, actions go out.
+//! This library only decides: it reads no clock, opens no socket, and starts no thread. Messages
+//! and the time are inputs, actions are outputs.
 //!
 //! ```text
 //!   request --> PeerPlacement -- own --> RequestGate --> backend server
 //!                    |                    | exact count of slots
 //!                    |                    | one queue per agency, deficit round robin
-//!                    +---- peer --------> | refuses what cannot be met in time
+//!                    +---- peer --------> | refuses what cannot be answered in time
 //!                    |                      (relayed; a refusal is proof of not run)
 //!   RetryBudget <----+ tries another peer only while the budget lasts
 //! ```
 //!
-//! [`RequestGate`] stands beside one backend server and is the only place that counts its
-//! slots. [`PeerPlacement`] picks the gate for a request from the own gate's exact load and the
-//! peers' old reports. [`RetryBudget`] and [`AttemptAllowance`] bound the attempts.
-//! [`PlacementPolicy`] is the seam between a placement and whoever drives it; [`baseline`]
-//! holds the common policies that it is measured against.
+//! [`RequestGate`] runs beside one backend server and is the only place that counts its slots.
+//! [`PeerPlacement`] picks the gate for a request from the exact load of the local gate and the
+//! delayed reports of the peers. [`RetryBudget`] and [`AttemptAllowance`] limit the attempts.
+//! [`PlacementPolicy`] is the interface between a placement and its driver; [`baseline`] holds the
+//! common policies that it is compared with.
 
+mod agency_queue;
 pub mod baseline;
 mod budget;
-mod class;
+mod cost;
 mod estimate;
-mod evidence;
 mod explain;
 mod gate;
 mod health;
 mod limit;
+mod peer_stats;
 mod peers;
 mod policy;
 mod queue;
@@ -34,14 +35,13 @@
 mod settings;
 mod subset;
 mod verdict;
-mod weigh;
 
 pub use budget::{AgencyBudgets, AllowanceError, AttemptAllowance, RetryBudget};
 pub use explain::GateCost;
 pub use gate::RequestGate;
-pub use health::{HealthWord, RequestEvidence, believed_word};
+pub use health::{HealthStatus, PassiveHealth, trusted_status};
 pub use peers::PeerPlacement;
-pub use policy::{ExchangeEnd, PlacementChoice, PlacementPolicy};
+pub use policy::{ExchangeOutcome, PlacementChoice, PlacementPolicy};
 pub use settings::{BudgetSettings, GateSettings, PlacementSettings};
 pub use subset::{SUBSET_SIZE, peer_subset};
-pub use verdict::{GateAction, GateRequest, GateVerdict, SlotEnd};
+pub use verdict::{GateAction, GateRequest, GateVerdict, SlotOutcome};
--- a/crates/placement/src/limit.rs
+++ b/crates/placement/src/limit.rs
@@ -1,32 +1,32 @@
-//! The backend server's own limit, learned from what it refuses.
+//! Adaptive concurrency limit of the backend server, learned from its refusals.
 //!
-//! What goes wrong without it: a server that takes fewer requests than its listed slots (it
-//! sheds, or its process hangs up on every connection) ends them so fast that its gate always
-//! looks free and draws ever more work. Here each refusal shrinks the slots in use to what the
-//! server did take, and time gives them back one by one.
+//! A server can accept fewer requests than its listed slots: it sheds them, or its process closes
+//! every connection. Such requests end so fast that the gate always looks free and attracts more
+//! and more load. So each refusal lowers the limit to the number of requests that the server did
+//! accept, and the limit rises again over time, one slot at a time.
 
 use std::time::Duration;
 
 use lovagelatch_domain::Moment;
 
-/// How long a shrunk limit holds before one slot is given back.
-const FIRST_HOLD: Duration = Duration::from_millis(500);
+/// Time from a reduction until the limit rises by one slot.
+const MIN_RAISE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The longest such time, after many refusals in a row.
-const LAST_HOLD: Duration = Duration::from_secs(8);
+/// Upper bound of that time, reached after repeated refusals.
+const MAX_RAISE_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Answers lost in a row, none served between, that count as a refusal.
-const LOST_IN_A_ROW: u32 = 3;
+/// Consecutive losses, without an answer in between, that count as a refusal.
+const LOSSES_PER_SHED: u32 = 3;
 
-/// How many requests the gate runs at once, at most its slots.
+/// The number of requests that the gate runs at once.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotLimit {
     slots: u16,
     /// Invariant: at most `slots`.
     current: u16,
-    hold: Duration,
+    raise_interval: Duration,
     next_raise: Moment,
-    lost_in_a_row: u32,
+    consecutive_losses: u32,
 }
 
 impl SlotLimit {
@@ -34,9 +34,9 @@
         Self {
             slots,
             current: slots,
-            hold: FIRST_HOLD,
+            raise_interval: MIN_RAISE_INTERVAL,
             next_raise: Moment::ZERO,
-            lost_in_a_row: 0,
+            consecutive_losses: 0,
         }
     }
 
@@ -44,40 +44,40 @@
         self.current
     }
 
-    /// An answer shows that the server works: what was taken away returns faster.
-    pub(crate) fn served(&mut self, now: Moment) {
-        self.lost_in_a_row = 0;
-        self.hold = (self.hold / 2).max(FIRST_HOLD);
-        self.next_raise = self.next_raise.min(now + self.hold);
+    /// Records an answer. It shows that the server works, so the limit rises faster.
+    pub(crate) fn record_served(&mut self, now: Moment) {
+        self.consecutive_losses = 0;
+        self.raise_interval = (self.raise_interval / 2).max(MIN_RAISE_INTERVAL);
+        self.next_raise = self.next_raise.min(now + self.raise_interval);
     }
 
-    /// The server refused a request while `running` others ran.
-    pub(crate) fn shed(&mut self, running: u16, now: Moment) {
-        let shrunk = running.min(self.current);
-        if shrunk == 0 {
-            self.hold = (self.hold * 2).min(LAST_HOLD);
+    /// Records that the server refused a request while `running` others ran.
+    pub(crate) fn record_shed(&mut self, running: u16, now: Moment) {
+        let reduced = running.min(self.current);
+        if reduced == 0 {
+            self.raise_interval = (self.raise_interval * 2).min(MAX_RAISE_INTERVAL);
         }
-        self.current = shrunk;
-        self.next_raise = now + self.hold;
+        self.current = reduced;
+        self.next_raise = now + self.raise_interval;
     }
 
-    /// A request was lost while `running` others ran.
-    pub(crate) fn lost(&mut self, running: u16, now: Moment) {
-        self.lost_in_a_row += 1;
-        if self.lost_in_a_row >= LOST_IN_A_ROW {
-            self.shed(running.min(self.current.saturating_sub(1)), now);
+    /// Records that an answer was lost while `running` others ran.
+    pub(crate) fn record_lost(&mut self, running: u16, now: Moment) {
+        self.consecutive_losses += 1;
+        if self.consecutive_losses >= LOSSES_PER_SHED {
+            self.record_shed(running.min(self.current.saturating_sub(1)), now);
         }
     }
 
-    /// Gives back what is due.
-    pub(crate) fn raise(&mut self, now: Moment) {
+    /// Raises the limit by one slot if that is due.
+    pub(crate) fn raise_if_due(&mut self, now: Moment) {
         if self.current < self.slots && now >= self.next_raise {
             self.current += 1;
-            self.next_raise = now + self.hold;
+            self.next_raise = now + self.raise_interval;
         }
     }
 
-    /// When the next slot is given back.
+    /// Returns when the limit rises next; `None` while it is not reduced.
     pub(crate) fn next_raise(&self) -> Option<Moment> {
         (self.current < self.slots).then_some(self.next_raise)
     }
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -1,50 +1,51 @@
-//! The seam between a placement and whoever drives it.
+//! The interface between a placement policy and its driver.
 
 use std::time::Duration;
 
 use lovagelatch_domain::{AgentAddress, GateReport, Moment, PeerReport, RefusalReason};
 
-/// Where a request shall go.
+/// Where to send a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementChoice {
-    /// To the gate beside the agent that decides.
+    /// To the gate beside the deciding agent.
     Own,
     /// To the gate of this peer.
     Peer(AgentAddress),
-    /// Nowhere: it was not run.
+    /// To no gate: the request was not run.
     Refuse {
-        /// Why.
+        /// Why no gate was chosen.
         reason: RefusalReason,
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// How an exchange with a peer ended, as measured by the agent that sent the request.
+/// The outcome of an exchange with a peer, as seen by the agent that sent the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ExchangeEnd {
+pub enum ExchangeOutcome {
     /// The peer answered.
     Answered {
-        /// Time from sending the request to the head of the answer.
-        took: Duration,
-        /// The peer's load, when it came with the answer: younger than any heartbeat's.
+        /// Time from sending the request to receiving the head of the answer.
+        response_time: Duration,
+        /// The load report that came with the answer, if any; more recent than any heartbeat.
         report: Option<GateReport>,
     },
-    /// The peer's gate refused.
+    /// The peer's gate refused the request.
     Refused {
-        /// Why.
+        /// Why the gate refused it.
         reason: RefusalReason,
-        /// When it said to come back.
+        /// When the gate suggested a retry.
         retry_after: Duration,
     },
-    /// Nothing came back: a timeout or a broken connection.
+    /// No response arrived: the exchange timed out or the connection broke.
     Lost,
 }
 
-/// A way to pick the gate for a new request.
+/// Picks the gate for a new request.
 pub trait PlacementPolicy {
-    /// Picks a gate. `own` is the own gate's load now; `peers` holds each peer's newest report;
-    /// `tried` lists the gates that refused this request already, the own one included.
+    /// Picks a gate. `own` is the current load of the local gate, `peers` holds the latest report
+    /// of each peer, and `tried` lists the gates that have already refused this request, possibly
+    /// including the local one.
     fn choose(
         &mut self,
         own: &GateReport,
@@ -54,12 +55,12 @@
         now: Moment,
     ) -> PlacementChoice;
 
-    /// Notes that a request was sent to a peer.
-    fn sent(&mut self, peer: AgentAddress, now: Moment);
+    /// Records that a request was sent to a peer.
+    fn record_sent(&mut self, peer: AgentAddress, now: Moment);
 
-    /// Notes that a request sent to a peer ended, however.
-    fn ended(&mut self, peer: AgentAddress, now: Moment);
+    /// Records that a request sent to a peer ended, whatever its outcome.
+    fn record_ended(&mut self, peer: AgentAddress, now: Moment);
 
-    /// Notes how an exchange with a peer ended; called besides `ended`.
-    fn observed(&mut self, peer: AgentAddress, end: ExchangeEnd, now: Moment);
+    /// Records the outcome of an exchange with a peer; called in addition to `record_ended`.
+    fn record_outcome(&mut self, peer: AgentAddress, outcome: ExchangeOutcome, now: Moment);
 }
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -1,8 +1,8 @@
-//! Deficit round robin over the agencies, counted in slot time.
+//! Deficit round robin over the agencies, measured in slot time.
 //!
-//! Each agency with waiting requests gets the same slot time in turn, whatever the number and
-//! size of its requests. A request's size is unknown beforehand, so it is charged one quantum (the
-//! mean of all) at its start and the difference at its end.
+//! Each agency with queued requests gets the same slot time per round, regardless of the number and
+//! size of its requests. The size of a request is not known in advance, so the request is charged
+//! one quantum (the mean service time) when it starts, and the difference when it ends.
 //!
 //! ```text
 //!   agency a  [x x x x x x x x x]  --+
@@ -14,27 +14,27 @@
 
 use lovagelatch_domain::{AgencyName, AttemptId, Moment};
 
-use crate::class::{AgencyClass, WaitingRequest};
+use crate::agency_queue::{AgencyQueue, WaitingRequest};
 
-/// A request taken from the queue, with the account it was charged to.
+/// A request taken from its queue, with the agency it was charged to.
 #[derive(Clone, Debug)]
-pub(crate) struct TakenRequest {
+pub(crate) struct DequeuedRequest {
     pub(crate) waiting: WaitingRequest,
     pub(crate) agency: Option<AgencyName>,
     /// In seconds of slot time.
     pub(crate) charge: f64,
 }
 
-/// The waiting requests of one gate.
+/// The queued requests of one gate.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
-    /// Every agency with a request that waits or runs, in turn order.
-    classes: Vec<AgencyClass>,
-    /// Whose turn it is. Invariant: below `classes.len()`, or 0.
+    /// One queue for each agency with a queued or running request, in round robin order.
+    queues: Vec<AgencyQueue>,
+    /// Index of the queue that is served next. Invariant: below `queues.len()`, or 0.
     turn: usize,
-    /// Whether the class whose turn it is has got its quantum.
+    /// Whether that queue has received its quantum in this round.
     granted: bool,
-    /// Invariant: the sum of all classes' waiting requests.
+    /// Invariant: the number of queued requests in all queues.
     waiting: usize,
 }
 
@@ -48,8 +48,8 @@
     }
 
     pub(crate) fn contains(&self, attempt: AttemptId) -> bool {
-        self.classes.iter().any(|class| {
-            class
+        self.queues.iter().any(|queue| {
+            queue
                 .waiting
                 .iter()
                 .any(|waiting| waiting.attempt == attempt)
@@ -58,40 +58,40 @@
 
     pub(crate) fn backlog(&self, agency: Option<&AgencyName>) -> usize {
         self.find(agency)
-            .map_or(0, |index| self.classes[index].waiting.len())
+            .map_or(0, |index| self.queues[index].waiting.len())
     }
 
-    /// Since when some request of this agency waits without a break.
-    pub(crate) fn waits_since(&self, agency: Option<&AgencyName>) -> Option<Moment> {
-        let class = &self.classes[self.find(agency)?];
-        (!class.waiting.is_empty()).then_some(class.waits_since)
+    /// Returns since when the agency's queue has been non-empty; `None` if it is empty.
+    pub(crate) fn backlogged_since(&self, agency: Option<&AgencyName>) -> Option<Moment> {
+        let queue = &self.queues[self.find(agency)?];
+        (!queue.waiting.is_empty()).then_some(queue.backlogged_since)
     }
 
-    /// How many agencies would wait if this one did.
-    pub(crate) fn rivals_and_self(&self, agency: Option<&AgencyName>) -> usize {
+    /// Returns the number of agencies with queued requests, counting this one in any case.
+    pub(crate) fn waiting_agencies_with(&self, agency: Option<&AgencyName>) -> usize {
         1 + self
-            .classes
+            .queues
             .iter()
-            .filter(|class| class.agency.as_ref() != agency && !class.waiting.is_empty())
+            .filter(|queue| queue.agency.as_ref() != agency && !queue.waiting.is_empty())
             .count()
     }
 
-    /// How many requests are served before a new one of this agency.
-    pub(crate) fn ahead_of(&self, agency: Option<&AgencyName>) -> usize {
+    /// Returns how many queued requests are served before a new one of this agency.
+    pub(crate) fn queued_ahead_of(&self, agency: Option<&AgencyName>) -> usize {
         let own = self.backlog(agency);
         let others = self
-            .classes
+            .queues
             .iter()
-            .filter(|class| class.agency.as_ref() != agency);
+            .filter(|queue| queue.agency.as_ref() != agency);
         own + others
-            .map(|class| class.waiting.len().min(own + 1))
+            .map(|queue| queue.waiting.len().min(own + 1))
             .sum::<usize>()
     }
 
     pub(crate) fn earliest_start_by(&self) -> Option<Moment> {
-        self.classes
+        self.queues
             .iter()
-            .flat_map(|class| class.waiting.iter())
+            .flat_map(|queue| queue.waiting.iter())
             .map(|waiting| waiting.start_by)
             .min()
     }
@@ -103,56 +103,56 @@
         now: Moment,
     ) {
         let index = self.find_or_add(agency);
-        let class = &mut self.classes[index];
-        if class.waiting.is_empty() {
-            class.waits_since = now;
+        let queue = &mut self.queues[index];
+        if queue.waiting.is_empty() {
+            queue.backlogged_since = now;
         }
-        class.waiting.push_back(waiting);
+        queue.waiting.push_back(waiting);
         self.waiting += 1;
     }
 
-    /// Takes the request whose turn it is. `quantum` is the mean service time in seconds.
-    pub(crate) fn pop(&mut self, quantum: f64) -> Option<TakenRequest> {
+    /// Takes the next request. `quantum` is the mean service time in seconds.
+    pub(crate) fn pop(&mut self, quantum: f64) -> Option<DequeuedRequest> {
         if self.waiting == 0 {
             return None;
         }
-        // Ends: each pass over the classes grants one quantum, and debts and charges are bounded.
+        // The loop ends: each round grants every queue one quantum, and the deficits are bounded.
         loop {
-            let class = &mut self.classes[self.turn];
-            if class.waiting.is_empty() {
-                class.drop_savings();
+            let queue = &mut self.queues[self.turn];
+            if queue.waiting.is_empty() {
+                queue.drop_credit();
                 self.next_turn();
                 continue;
             }
             if !self.granted {
-                class.grant(quantum);
+                queue.add_quantum(quantum);
                 self.granted = true;
             }
-            if !class.can_afford(quantum) {
+            if !queue.can_afford(quantum) {
                 self.next_turn();
                 continue;
             }
-            let waiting = class.waiting.pop_front()?;
-            class.spend(quantum, quantum);
-            class.running += 1;
+            let waiting = queue.waiting.pop_front()?;
+            queue.spend(quantum, quantum);
+            queue.running += 1;
             self.waiting -= 1;
-            return Some(TakenRequest {
+            return Some(DequeuedRequest {
                 waiting,
-                agency: class.agency.clone(),
+                agency: queue.agency.clone(),
                 charge: quantum,
             });
         }
     }
 
-    /// Charges a request that starts without waiting.
-    pub(crate) fn start_at_once(&mut self, agency: Option<AgencyName>, quantum: f64) {
+    /// Charges a request that starts without being queued.
+    pub(crate) fn start_immediately(&mut self, agency: Option<AgencyName>, quantum: f64) {
         let index = self.find_or_add(agency);
-        let class = &mut self.classes[index];
-        class.spend(quantum, quantum);
-        class.running += 1;
+        let queue = &mut self.queues[index];
+        queue.spend(quantum, quantum);
+        queue.running += 1;
     }
 
-    /// Settles the account of a request that gave its slot back after `took`.
+    /// Corrects the charge of a request that held its slot for `took`.
     pub(crate) fn settle(
         &mut self,
         agency: Option<&AgencyName>,
@@ -163,13 +163,13 @@
         let Some(index) = self.find(agency) else {
             return;
         };
-        let class = &mut self.classes[index];
-        class.running = class.running.saturating_sub(1);
-        class.spend(took.as_secs_f64() - charge, quantum);
+        let queue = &mut self.queues[index];
+        queue.running = queue.running.saturating_sub(1);
+        queue.spend(took.as_secs_f64() - charge, quantum);
         self.drop_if_idle(index);
     }
 
-    pub(crate) fn withdraw(&mut self, attempt: AttemptId) -> bool {
+    pub(crate) fn cancel(&mut self, attempt: AttemptId) -> bool {
         let mut removed = false;
         self.retain(|waiting| {
             let keep = waiting.attempt != attempt;
@@ -179,45 +179,45 @@
         removed
     }
 
-    /// Keeps the waiting requests that `keep` accepts, each class in its order.
+    /// Keeps the queued requests for which `keep` returns true, in their order.
     pub(crate) fn retain(&mut self, mut keep: impl FnMut(&WaitingRequest) -> bool) {
-        for index in (0..self.classes.len()).rev() {
-            self.classes[index].waiting.retain(|waiting| keep(waiting));
+        for index in (0..self.queues.len()).rev() {
+            self.queues[index].waiting.retain(|waiting| keep(waiting));
             self.drop_if_idle(index);
         }
-        self.waiting = self.classes.iter().map(|class| class.waiting.len()).sum();
+        self.waiting = self.queues.iter().map(|queue| queue.waiting.len()).sum();
     }
 
     fn next_turn(&mut self) {
-        self.turn = (self.turn + 1) % self.classes.len();
+        self.turn = (self.turn + 1) % self.queues.len();
         self.granted = false;
     }
 
     fn find(&self, agency: Option<&AgencyName>) -> Option<usize> {
-        self.classes
+        self.queues
             .iter()
-            .position(|class| class.agency.as_ref() == agency)
+            .position(|queue| queue.agency.as_ref() == agency)
     }
 
     fn find_or_add(&mut self, agency: Option<AgencyName>) -> usize {
         if let Some(index) = self.find(agency.as_ref()) {
             return index;
         }
-        self.classes.push(AgencyClass::new(agency));
-        self.classes.len() - 1
+        self.queues.push(AgencyQueue::new(agency));
+        self.queues.len() - 1
     }
 
     fn drop_if_idle(&mut self, index: usize) {
-        if !self.classes[index].is_idle() {
+        if !self.queues[index].is_idle() {
             return;
         }
-        self.classes.remove(index);
+        self.queues.remove(index);
         if index < self.turn {
             self.turn -= 1;
         } else if index == self.turn {
             self.granted = false;
         }
-        if self.turn >= self.classes.len() {
+        if self.turn >= self.queues.len() {
             self.turn = 0;
         }
     }
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,4 +1,4 @@
-//! Limits and prior guesses of the decisions.
+//! Settings of gates, placement, and retry budgets.
 
 use std::time::Duration;
 
@@ -6,98 +6,99 @@
 
 const DEFAULT_QUEUE_LIMIT: usize = 256;
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(100);
-const DEFAULT_LOCAL_HOP: Duration = Duration::from_micros(500);
-const DEFAULT_ZONE_HOP: Duration = Duration::from_millis(3);
-const DEFAULT_RETRY_SHARE: f64 = 0.09;
+const DEFAULT_SAME_ZONE_RTT: Duration = Duration::from_micros(500);
+const DEFAULT_CROSS_ZONE_RTT: Duration = Duration::from_millis(3);
+const DEFAULT_RETRY_RATIO: f64 = 0.09;
 const DEFAULT_RETRY_BURST: f64 = 10.0;
-const DEFAULT_BUDGET_MEMORY: Duration = Duration::from_secs(10);
+const DEFAULT_BUDGET_DECAY_TIME: Duration = Duration::from_secs(10);
 const DEFAULT_RESERVE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// How one gate counts and queues.
+/// Settings of one gate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GateSettings {
-    /// How many requests the backend server runs at once. Invariant: at least 1.
+    /// Number of requests that the backend server runs at once. Invariant: at least 1.
     pub slots: u16,
-    /// The most requests that one agency may have waiting while no other waits. Several
-    /// agencies share it equally.
+    /// Queue capacity for one agency while no other agency has queued requests. Several agencies
+    /// share it equally.
     pub queue_limit: usize,
-    /// The guess of a request's service time until some were measured.
-    pub first_service_time: Duration,
+    /// Assumed service time of a request, until enough service times are measured.
+    pub initial_service_time: Duration,
 }
 
 impl GateSettings {
-    /// Settings for a backend server that runs `slots` requests at once (0 counts as 1).
+    /// Creates settings for a backend server that runs `slots` requests at once (0 counts as 1).
     #[must_use]
     pub const fn new(slots: u16) -> Self {
         Self {
             slots: if slots == 0 { 1 } else { slots },
             queue_limit: DEFAULT_QUEUE_LIMIT,
-            first_service_time: DEFAULT_SERVICE_TIME,
+            initial_service_time: DEFAULT_SERVICE_TIME,
         }
     }
 
-    /// Sets the queue limit, in requests.
+    /// Sets the queue capacity, in requests.
     #[must_use]
     pub const fn with_queue_limit(mut self, queue_limit: usize) -> Self {
         self.queue_limit = queue_limit;
         self
     }
 
-    /// Sets the first guess of a request's service time.
+    /// Sets the assumed initial service time of a request.
     #[must_use]
-    pub const fn with_first_service_time(mut self, first_service_time: Duration) -> Self {
-        self.first_service_time = first_service_time;
+    pub const fn with_initial_service_time(mut self, initial_service_time: Duration) -> Self {
+        self.initial_service_time = initial_service_time;
         self
     }
 }
 
-/// How one agent weighs its own gate against its peers'.
+/// Settings of the placement in one agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// The agent that decides.
-    pub own: AgentAddress,
-    /// Its availability zone.
+    /// Address of this agent, and so of the local gate.
+    pub own_address: AgentAddress,
+    /// Availability zone of this agent.
     pub zone: ZoneName,
-    /// What an exchange with a peer of the same zone adds to a request.
-    pub local_hop: Duration,
-    /// What an exchange with a peer of another zone adds.
-    pub zone_hop: Duration,
-    /// Whether a warming gate costs its remaining setup time. Off only in experiments.
-    pub counts_setup: bool,
-    /// The seed of the choice among equals.
+    /// Time that an exchange with a peer in the same zone adds to a request.
+    pub same_zone_rtt: Duration,
+    /// Time that an exchange with a peer in another zone adds to a request.
+    pub cross_zone_rtt: Duration,
+    /// Whether the remaining warm-up of a gate counts towards its cost. Disabled only in
+    /// experiments.
+    pub counts_warmup: bool,
+    /// Seed of the random tie-break.
     pub seed: u64,
 }
 
 impl PlacementSettings {
-    /// Settings with hops of 0.5 ms within a zone and 3 ms between zones.
+    /// Creates settings with a round trip of 0.5 ms within a zone and 3 ms between zones.
     #[must_use]
-    pub const fn new(own: AgentAddress, zone: ZoneName) -> Self {
+    pub const fn new(own_address: AgentAddress, zone: ZoneName) -> Self {
         Self {
-            own,
+            own_address,
             zone,
-            local_hop: DEFAULT_LOCAL_HOP,
-            zone_hop: DEFAULT_ZONE_HOP,
-            counts_setup: true,
+            same_zone_rtt: DEFAULT_SAME_ZONE_RTT,
+            cross_zone_rtt: DEFAULT_CROSS_ZONE_RTT,
+            counts_warmup: true,
             seed: 0,
         }
     }
 
-    /// Sets the round trips to peers of the same zone and of another.
+    /// Sets the round-trip times to peers in the same zone and in another zone.
     #[must_use]
-    pub const fn with_hops(mut self, local_hop: Duration, zone_hop: Duration) -> Self {
-        self.local_hop = local_hop;
-        self.zone_hop = zone_hop;
+    pub const fn with_rtts(mut self, same_zone_rtt: Duration, cross_zone_rtt: Duration) -> Self {
+        self.same_zone_rtt = same_zone_rtt;
+        self.cross_zone_rtt = cross_zone_rtt;
         self
     }
 
-    /// Sets whether a warming gate costs its remaining setup time.
+    /// Sets whether the remaining warm-up of a gate counts towards its cost.
     #[must_use]
-    pub const fn with_counts_setup(mut self, counts_setup: bool) -> Self {
-        self.counts_setup = counts_setup;
+    pub const fn with_counts_warmup(mut self, counts_warmup: bool) -> Self {
+        self.counts_warmup = counts_warmup;
         self
     }
 
-    /// Sets the seed of the choice among equals.
+    /// Sets the seed of the random tie-break.
     #[must_use]
     pub const fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
@@ -105,40 +106,40 @@
     }
 }
 
-/// How many attempts beyond the first are affordable.
+/// Settings of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Retries per recent request.
-    pub share: f64,
-    /// The most retries that may be saved up.
+    /// Retry tokens earned per request.
+    pub retry_ratio: f64,
+    /// Maximum number of saved tokens.
     pub burst: f64,
-    /// How long a saved retry lasts: the savings fall by a factor *e* in this time.
-    pub memory: Duration,
-    /// How long after a retry the next one needs no savings.
+    /// Decay time of saved tokens: they fall by a factor of *e* in this time.
+    pub decay_time: Duration,
+    /// Time after a retry until the next one needs no token.
     pub reserve_interval: Duration,
 }
 
 impl BudgetSettings {
-    /// Nine retries per hundred requests of the last seconds, so that with the saved ones the
+    /// Creates settings that allow nine retries per hundred recent requests. With the saved tokens,
     /// attempts stay below 1.1 per request.
     #[must_use]
     pub const fn new() -> Self {
         Self {
-            share: DEFAULT_RETRY_SHARE,
+            retry_ratio: DEFAULT_RETRY_RATIO,
             burst: DEFAULT_RETRY_BURST,
-            memory: DEFAULT_BUDGET_MEMORY,
+            decay_time: DEFAULT_BUDGET_DECAY_TIME,
             reserve_interval: DEFAULT_RESERVE_INTERVAL,
         }
     }
 
-    /// Sets the retries per recent request.
+    /// Sets the retry tokens earned per request.
     #[must_use]
-    pub const fn with_share(mut self, share: f64) -> Self {
-        self.share = share;
+    pub const fn with_retry_ratio(mut self, retry_ratio: f64) -> Self {
+        self.retry_ratio = retry_ratio;
         self
     }
 
-    /// Sets the most retries that may be saved up.
+    /// Sets the maximum number of saved tokens.
     #[must_use]
     pub const fn with_burst(mut self, burst: f64) -> Self {
         self.burst = burst;
--- a/crates/placement/src/verdict.rs
+++ b/crates/placement/src/verdict.rs
@@ -1,67 +1,69 @@
-//! What goes into a gate and what comes out.
+//! Inputs and outputs of a gate.
 
 use std::time::Duration;
 
 use lovagelatch_domain::{AgencyName, AttemptId, Moment, RefusalReason};
 
-/// A request that asks a gate for a slot.
+/// A request that needs a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GateRequest {
-    /// The attempt.
+    /// Identifies the attempt; a repeated offer of it is detected by this.
     pub attempt: AttemptId,
-    /// The agency whose share it counts against; those without one share one class.
+    /// The agency whose share the request counts against. Requests without an agency share one
+    /// queue.
     pub agency: Option<AgencyName>,
-    /// When it came.
+    /// When the request reached the gate's agent.
     pub arrived: Moment,
-    /// When its caller stops waiting. It is never started at or after this moment.
+    /// When the caller's timeout expires. The request is never started at or after this moment.
     pub deadline: Moment,
 }
 
-/// What a gate says to a request at once.
+/// The immediate decision about an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateVerdict {
-    /// It holds a slot now; its end must be told by `finish`.
+    /// The request holds a slot now. Its outcome must be reported with `finish`.
     Start,
-    /// It waits; a [`GateAction`] will follow.
+    /// The request is queued. A [`GateAction`] follows.
     Queued,
-    /// It was not started and never will be.
+    /// The request was not started and never will be.
     Refused {
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back, worked out from the backlog.
+        /// When the caller should retry, estimated from the backlog.
         retry_after: Duration,
     },
-    /// The gate holds this attempt already, waiting or running; nothing changed. A repeated
-    /// message must not turn into a refusal, which would be read as proof of *not run*.
+    /// The gate already holds this attempt, queued or running; nothing changed. A repeated message
+    /// must not produce a refusal, because a refusal is proof of *not run*.
     Duplicate,
 }
 
-/// What a gate tells about a request that waited.
+/// A later decision about a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateAction {
-    /// It holds a slot now; its end must be told by `finish`.
+    /// The request holds a slot now. Its outcome must be reported with `finish`.
     Start(AttemptId),
-    /// It was not started and never will be.
+    /// The request was not started and never will be.
     Refuse {
-        /// The attempt.
+        /// The queued attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// How a request gave its slot back.
+/// How a request released its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SlotEnd {
-    /// The backend server answered it.
+pub enum SlotOutcome {
+    /// The backend server answered.
     Served,
-    /// The backend server refused it before its start: it takes fewer than its slots now.
+    /// The backend server refused the request before it started: it currently accepts fewer
+    /// requests than its slots.
     Shed,
-    /// Its answer is lost.
+    /// The answer was lost.
     Lost,
-    /// Its caller gave up, and the backend server confirmed that it heard of it. This says
-    /// nothing about the server: neither how long a request takes nor whether it works.
+    /// The caller cancelled the request, and the backend server acknowledged the cancellation. This
+    /// says nothing about the server: neither its service time nor whether it works.
     Abandoned,
 }
--- a/crates/placement/tests/all/fairness.rs
+++ b/crates/placement/tests/all/fairness.rs
@@ -1,27 +1,27 @@
-//! Shares of agencies at one gate.
+//! Fair shares of the agencies at one gate.
 
 use std::collections::HashMap;
 
 use lovagelatch_domain::{AttemptId, RefusalReason};
-use lovagelatch_placement::{GateAction, GateSettings, GateVerdict, RequestGate, SlotEnd};
+use lovagelatch_placement::{GateAction, GateSettings, GateVerdict, RequestGate, SlotOutcome};
 
 use crate::support::{at, new_gate, request_of};
 
-/// Numbers of one agency's attempts start here times its index.
+/// Attempt numbers of an agency start at its index times this.
 const STRIDE: u128 = 1_000_000;
 
-/// No queue counts as standing before this, in milliseconds; until then nothing is refused.
+/// No queue counts as standing before this time, in milliseconds, so nothing is refused until then.
 const STANDING_AFTER: u64 = 10_000;
 
 struct ShareCase {
     name: &'static str,
-    /// Service time in milliseconds and requests kept waiting, by agency.
+    /// Service time in milliseconds and number of queued requests, by agency.
     agencies: [(u64, usize); 3],
 }
 
-// Symptom: citizens of one agency wait for hours while a rival files in bulk.
-// Sequence: the rival keeps a long queue, or files few but long requests.
-// Cause: slots were given in order of arrival, or counted in requests instead of slot time.
+// Guards against an agency whose callers wait for hours while another agency keeps a long queue, or
+// sends few but long requests. Slots granted in arrival order, or by number of requests instead of
+// slot time, cause this.
 #[test]
 fn slot_time_is_shared_equally_whatever_the_numbers_and_sizes() {
     let cases = [
@@ -30,11 +30,11 @@
             agencies: [(100, 5), (100, 5), (100, 5)],
         },
         ShareCase {
-            name: "one rushes",
+            name: "one under high load",
             agencies: [(100, 60), (100, 3), (100, 3)],
         },
         ShareCase {
-            name: "one files long requests",
+            name: "one with long requests",
             agencies: [(600, 5), (100, 5), (100, 5)],
         },
     ];
@@ -48,11 +48,11 @@
     }
 }
 
-/// Keeps every agency backlogged at a gate with two slots for 120 s; returns slot time used.
+/// Keeps every agency backlogged for 120 s at a gate with two slots. Returns the slot time used.
 fn run_backlogged(case: &ShareCase) -> [u64; 3] {
     let names = ["ludhiana", "amritsar", "multan"];
     let mut gate = new_gate(2);
-    let mut made = [0_u128; 3];
+    let mut offered = [0_u128; 3];
     let mut waiting = [0_usize; 3];
     let mut ends: HashMap<AttemptId, u64> = HashMap::new();
     let mut used = [0; 3];
@@ -60,13 +60,13 @@
         let mut started: Vec<AttemptId> = Vec::new();
         for index in 0..3 {
             while waiting[index] < case.agencies[index].1 {
-                let attempt = index as u128 * STRIDE + made[index];
-                made[index] += 1;
+                let attempt = index as u128 * STRIDE + offered[index];
+                offered[index] += 1;
                 let request = request_of(names[index], attempt, now, now + 10_000_000);
                 match gate.offer(request, at(now)) {
                     GateVerdict::Start => started.push(AttemptId(attempt)),
                     GateVerdict::Queued => waiting[index] += 1,
-                    // A queue that stands is kept short; its agency comes again.
+                    // A standing queue is kept short; the agency tries again.
                     GateVerdict::Refused { .. } if now > STANDING_AFTER => break,
                     other => panic!("{other:?}"),
                 }
@@ -79,7 +79,7 @@
             .collect();
         for attempt in due {
             ends.remove(&attempt);
-            for action in gate.finish(attempt, SlotEnd::Served, at(now)) {
+            for action in gate.finish(attempt, SlotOutcome::Served, at(now)) {
                 let GateAction::Start(next) = action else {
                     panic!("{action:?}");
                 };
@@ -97,21 +97,20 @@
     used
 }
 
-// Symptom: an agency within its share is refused while a rival holds the whole queue.
-// Sequence: the rival fills the queue to its limit; then the other files one request.
-// Cause: the limit was one for all.
+// Guards against a queue limit that is common to all agencies: one agency fills the queue, and
+// another one within its share is refused.
 #[test]
-fn a_full_queue_of_one_agency_leaves_room_for_its_rivals() {
+fn a_full_queue_of_one_agency_leaves_room_for_others() {
     let mut gate = new_gate(1);
     let mut refused = 0;
     for number in 0..400 {
-        let verdict = gate.offer(request_of("rushing", number, 0, 600_000), at(0));
+        let verdict = gate.offer(request_of("busy", number, 0, 600_000), at(0));
         refused += u32::from(matches!(verdict, GateVerdict::Refused { .. }));
     }
     assert!(refused > 0);
-    let rival = gate.offer(request_of("ludhiana", 1_000, 0, 2_000), at(0));
-    assert_eq!(rival, GateVerdict::Queued);
-    let again = gate.offer(request_of("rushing", 1_001, 0, 600_000), at(0));
+    let other = gate.offer(request_of("ludhiana", 1_000, 0, 2_000), at(0));
+    assert_eq!(other, GateVerdict::Queued);
+    let again = gate.offer(request_of("busy", 1_001, 0, 600_000), at(0));
     let over = matches!(
         again,
         GateVerdict::Refused {
@@ -123,7 +122,7 @@
 }
 
 #[test]
-fn agencies_that_flood_together_share_the_queue() {
+fn agencies_that_overload_together_share_the_queue() {
     let mut gate = RequestGate::new(GateSettings::new(1).with_queue_limit(60));
     let mut queued = [0, 0];
     for number in 0..400 {
@@ -136,15 +135,15 @@
 }
 
 #[test]
-fn an_agency_that_comes_late_is_next_but_one() {
+fn a_newly_queued_agency_starts_within_three_turns() {
     let mut gate = new_gate(1);
     for number in 0..50 {
-        gate.offer(request_of("rushing", number, 0, 600_000), at(0));
+        gate.offer(request_of("busy", number, 0, 600_000), at(0));
     }
     gate.offer(request_of("ludhiana", 1_000, 0, 600_000), at(0));
     let mut running = AttemptId(0);
     for turn in 1..=3 {
-        let actions = gate.finish(running, SlotEnd::Served, at(turn * 100));
+        let actions = gate.finish(running, SlotOutcome::Served, at(turn * 100));
         let [GateAction::Start(next)] = actions[..] else {
             panic!("{actions:?}");
         };
@@ -153,5 +152,5 @@
             return;
         }
     }
-    panic!("the rival was not started within three turns");
+    panic!("the agency was not started within three turns");
 }
--- a/crates/placement/tests/all/gate.rs
+++ b/crates/placement/tests/all/gate.rs
@@ -1,7 +1,7 @@
 //! The gate: slots, deadlines, refusals.
 
 use lovagelatch_domain::{AttemptId, GateCondition, RefusalReason};
-use lovagelatch_placement::{GateAction, GateSettings, GateVerdict, RequestGate, SlotEnd};
+use lovagelatch_placement::{GateAction, GateSettings, GateVerdict, RequestGate, SlotOutcome};
 
 use crate::support::{at, millis, new_gate, request, request_of};
 
@@ -14,7 +14,7 @@
 
 struct OfferCase {
     name: &'static str,
-    /// Requests of the same kind offered before, all with a far deadline.
+    /// Requests offered before, each with a distant deadline.
     before: u128,
     condition: GateCondition,
     now: u64,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_offer_is_started_queued_or_refused_by_what_can_be_met() {
+fn an_offer_is_started_queued_or_refused_by_its_deadline() {
     let open = GateCondition::Open;
     let warming = GateCondition::Warming {
         remaining: millis(1_000),
@@ -56,15 +56,15 @@
     }
 }
 
-// Symptom: under lasting overload every caller of a minute's patience waits most of a minute.
-// Sequence: more comes than can be served; the queue fills up to the deadlines and stays so.
-// Cause: what was expected to be served in time was queued, however long it would wait.
+// Guards against a standing queue under lasting overload. If every request that meets its deadline
+// is queued, the queue fills up to the deadlines, and callers with a timeout of a minute wait for
+// most of it.
 #[test]
 fn a_standing_queue_is_kept_short_and_a_burst_is_not() {
     let mut gate = new_gate(1);
     let mut running = None;
     let mut waits = Vec::new();
-    // Twice of what it can serve: a request each 50 ms, each of 100 ms.
+    // Twice the capacity: one request per 50 ms with a service time of 100 ms each.
     for step in 0..800_u64 {
         let millis = step * 50;
         let number = u128::from(step);
@@ -72,8 +72,8 @@
         if verdict == GateVerdict::Start {
             running = Some(AttemptId(number));
         } else if step % 2 == 0 {
-            let ended = running.take().expect("one runs");
-            let actions = gate.finish(ended, SlotEnd::Served, at(millis));
+            let finished = running.take().expect("a request is running");
+            let actions = gate.finish(finished, SlotOutcome::Served, at(millis));
             running = actions.iter().find_map(|action| match action {
                 GateAction::Start(attempt) => Some(*attempt),
                 GateAction::Refuse { .. } => None,
@@ -85,9 +85,8 @@
     assert!(waits[799] < millis(1_500), "standing: {:?}", waits[799]);
 }
 
-// Symptom: a caller that was told to wait gets "not run", although its request runs.
-// Sequence: a relay repeats its request frame after a broken stream; the gate, full, refuses
-// the copy. Cause: the copy was judged as a new request.
+// Guards against a "not run" answer for a request that does run: a relay repeats its request frame
+// after a broken stream, and the full gate refuses the copy as if it were a new request.
 #[test]
 fn a_repeated_attempt_is_never_refused() {
     let mut gate = new_gate(1);
@@ -99,16 +98,15 @@
     }
 }
 
-// Symptom: a request runs although its caller was told minutes ago that it failed.
-// Sequence: the agent's process is stopped while a request waits, and wakes after the deadline;
-// the first thing it handles is the end of another request, which frees the slot.
-// Cause: the queue was served without a look at the deadlines.
+// Guards against a request that runs minutes after its caller was told that it failed. The agent's
+// process is stopped while a request is queued and resumes after the deadline; the first event is
+// the end of another request, which frees the slot before any deadline is checked.
 #[test]
-fn a_process_that_wakes_late_refuses_instead_of_starting() {
+fn a_process_that_resumes_late_refuses_instead_of_starting() {
     type Wake = fn(&mut RequestGate) -> Vec<GateAction>;
     let wakes: [(&str, Wake); 3] = [
         ("finish", |gate| {
-            gate.finish(AttemptId(1), SlotEnd::Served, at(90_000))
+            gate.finish(AttemptId(1), SlotOutcome::Served, at(90_000))
                 .to_vec()
         }),
         ("advance", |gate| gate.advance(at(90_000)).to_vec()),
@@ -134,7 +132,7 @@
 }
 
 #[test]
-fn leaving_refuses_what_waits_and_lets_run_what_runs() {
+fn leaving_refuses_queued_requests_and_lets_running_ones_finish() {
     let mut gate = new_gate(1);
     gate.offer(request(1, 0, 5_000), at(0));
     gate.offer(request(2, 0, 5_000), at(0));
@@ -150,27 +148,30 @@
     assert!(leaving, "{actions:?}");
     assert_eq!(gate.report(at(10)).in_use, 1);
     assert!(
-        gate.finish(AttemptId(1), SlotEnd::Served, at(50))
+        gate.finish(AttemptId(1), SlotOutcome::Served, at(50))
             .is_empty()
     );
 }
 
 #[test]
-fn a_withdrawn_request_never_starts() {
+fn a_cancelled_request_never_starts() {
     let mut gate = new_gate(1);
     gate.offer(request(1, 0, 5_000), at(0));
     gate.offer(request(2, 0, 5_000), at(0));
-    assert!(gate.withdraw(AttemptId(2), at(1)));
-    assert!(!gate.withdraw(AttemptId(2), at(1)), "it waits no more");
-    assert!(!gate.withdraw(AttemptId(1), at(1)), "it runs");
+    assert!(gate.cancel_queued(AttemptId(2), at(1)));
     assert!(
-        gate.finish(AttemptId(1), SlotEnd::Served, at(50))
+        !gate.cancel_queued(AttemptId(2), at(1)),
+        "it is no longer queued"
+    );
+    assert!(!gate.cancel_queued(AttemptId(1), at(1)), "it is running");
+    assert!(
+        gate.finish(AttemptId(1), SlotOutcome::Served, at(50))
             .is_empty()
     );
 }
 
 #[test]
-fn warming_ends_with_the_word_of_the_server_not_with_the_forecast() {
+fn warming_ends_when_the_server_reports_ready_not_at_the_forecast() {
     let mut gate = new_gate(2);
     let warming = GateCondition::Warming {
         remaining: millis(500),
@@ -182,52 +183,50 @@
     assert_eq!(actions[..], [GateAction::Start(AttemptId(1))]);
 }
 
-// Symptom: refused callers come back in waves, each refused again.
-// Sequence: a full gate refuses fifty callers in one millisecond with the same advice.
-// Cause: the advice was worked out for each as if it were alone.
+// Guards against refused callers that return in waves and are refused again: a full gate refuses
+// fifty callers within one millisecond and computes the same retry-after time for each.
 #[test]
-fn refused_callers_are_told_to_come_back_at_the_rate_of_service() {
+fn retry_after_times_spread_refused_callers_at_the_service_rate() {
     let mut gate = new_gate(2);
     for number in 0..40 {
         gate.offer(request(number, 0, 60_000), at(0));
     }
-    let advice = (100..150).map(|number| {
+    let retry_afters = (100..150).map(|number| {
         let verdict = gate.offer(request(number, 0, 500), at(0));
         let GateVerdict::Refused { retry_after, .. } = verdict else {
             panic!("{number} was not refused: {verdict:?}");
         };
         retry_after
     });
-    let advice: Vec<_> = advice.collect();
-    let (first, last) = (advice[0], advice[49]);
-    // Two slots serve one request per 50 ms, so the fiftieth has to wait 2.45 s longer.
+    let retry_afters: Vec<_> = retry_afters.collect();
+    let (first, last) = (retry_afters[0], retry_afters[49]);
+    // Two slots serve one request per 50 ms, so the fiftieth caller has to wait 2.45 s longer.
     assert!(last >= first + millis(2_300), "{first:?} to {last:?}");
     assert!(last <= first + millis(2_600), "{first:?} to {last:?}");
 }
 
 #[test]
-fn one_extreme_request_does_not_throw_the_forecast_off() {
+fn one_outlier_does_not_distort_the_forecast() {
     let mut gate = new_gate(1);
     for number in 0..100 {
         gate.offer(request(number, 0, 600_000), at(number as u64 * 100));
         gate.finish(
             AttemptId(number),
-            SlotEnd::Served,
+            SlotOutcome::Served,
             at(number as u64 * 100 + 100),
         );
     }
     let before = gate.report(at(10_000)).service_time;
     gate.offer(request(200, 10_000, 900_000), at(10_000));
-    gate.finish(AttemptId(200), SlotEnd::Served, at(310_000));
+    gate.finish(AttemptId(200), SlotOutcome::Served, at(310_000));
     let after = gate.report(at(310_000)).service_time;
     assert!(after < before * 2, "{before:?} became {after:?}");
 }
 
-// Symptom: requests wait behind a server that hangs, until their deadlines.
-// Sequence: the server slows down by a factor of fifty; none of its answers shows that yet.
-// Cause: the forecast counted only finished requests.
+// Guards against a forecast from finished requests only: the server slows down by a factor of
+// fifty, none of its answers shows it yet, and requests queue until their deadlines.
 #[test]
-fn a_server_that_became_slow_shows_before_its_answers() {
+fn a_slow_server_is_detected_before_it_answers() {
     let mut gate = new_gate(2);
     gate.offer(request(1, 0, 60_000), at(0));
     gate.offer(request(2, 0, 60_000), at(0));
--- a/crates/placement/tests/all/health.rs
+++ b/crates/placement/tests/all/health.rs
@@ -1,50 +1,50 @@
-//! When a backend server's word about itself is believed.
+//! When the health that a backend server reports is trusted.
 
 use std::time::Duration;
 
-use lovagelatch_placement::{HealthWord, RequestEvidence, SlotEnd, believed_word};
+use lovagelatch_placement::{HealthStatus, PassiveHealth, SlotOutcome, trusted_status};
 
 use crate::support::at;
 
-const WARMING: HealthWord = HealthWord::Warming(Duration::from_secs(5));
-const READY: HealthWord = HealthWord::Ready;
-const DRAINING: HealthWord = HealthWord::Draining;
+const WARMING: HealthStatus = HealthStatus::Warming(Duration::from_secs(5));
+const READY: HealthStatus = HealthStatus::Ready;
+const DRAINING: HealthStatus = HealthStatus::Draining;
 
-struct WordCase {
+struct HealthCase {
     name: &'static str,
-    word: HealthWord,
-    before: Option<HealthWord>,
-    /// Ends of own requests, each with its time in milliseconds.
-    ends: &'static [(SlotEnd, u64)],
-    expected: Option<HealthWord>,
+    status: HealthStatus,
+    previous: Option<HealthStatus>,
+    /// Outcomes of own requests, each with its time in milliseconds.
+    outcomes: &'static [(SlotOutcome, u64)],
+    expected: Option<HealthStatus>,
 }
 
-// Symptom: p99 nearly triples while a backend server answers every request.
-// Sequence: one of five reads of its health says "warming, 5 s"; the gate stops until the next.
-// Cause: the word ranked above the answers.
+// Guards against a health endpoint that overrides measured outcomes: one of five reads says
+// "warming, 5 s" while the server answers every request, the gate stops until the next read, and
+// the p99 latency nearly triples.
 #[test]
-fn answers_outrank_the_word_of_the_health_endpoint() {
+fn answers_take_precedence_over_the_health_endpoint() {
     #[rustfmt::skip]
     let cases = [
-        WordCase { name: "ready", word: READY, before: Some(WARMING), ends: &[], expected: Some(READY) },
-        WordCase { name: "a start", word: WARMING, before: None, ends: &[], expected: Some(WARMING) },
-        WordCase { name: "answered lately", word: WARMING, before: Some(READY), ends: &[(SlotEnd::Served, 9_000)], expected: None },
-        WordCase { name: "answered lately, said twice", word: WARMING, before: Some(WARMING), ends: &[(SlotEnd::Served, 9_000)], expected: None },
-        WordCase { name: "answered long ago", word: WARMING, before: Some(READY), ends: &[(SlotEnd::Served, 5_000)], expected: Some(WARMING) },
-        WordCase { name: "lost since", word: WARMING, before: Some(READY), ends: &[(SlotEnd::Served, 9_000), (SlotEnd::Lost, 9_500)], expected: Some(WARMING) },
-        WordCase { name: "shed since", word: WARMING, before: Some(READY), ends: &[(SlotEnd::Served, 9_000), (SlotEnd::Shed, 9_500)], expected: Some(WARMING) },
-        WordCase { name: "answered after a loss", word: WARMING, before: Some(READY), ends: &[(SlotEnd::Lost, 9_000), (SlotEnd::Served, 9_500)], expected: None },
-        WordCase { name: "a caller left since", word: WARMING, before: Some(READY), ends: &[(SlotEnd::Served, 9_000), (SlotEnd::Abandoned, 9_500)], expected: None },
-        WordCase { name: "draining once", word: DRAINING, before: Some(READY), ends: &[], expected: None },
-        WordCase { name: "draining at the first read", word: DRAINING, before: None, ends: &[], expected: None },
-        WordCase { name: "draining twice", word: DRAINING, before: Some(DRAINING), ends: &[(SlotEnd::Served, 9_900)], expected: Some(DRAINING) },
+        HealthCase { name: "ready", status: READY, previous: Some(WARMING), outcomes: &[], expected: Some(READY) },
+        HealthCase { name: "a start", status: WARMING, previous: None, outcomes: &[], expected: Some(WARMING) },
+        HealthCase { name: "answered recently", status: WARMING, previous: Some(READY), outcomes: &[(SlotOutcome::Served, 9_000)], expected: None },
+        HealthCase { name: "answered recently, warming twice", status: WARMING, previous: Some(WARMING), outcomes: &[(SlotOutcome::Served, 9_000)], expected: None },
+        HealthCase { name: "answered long ago", status: WARMING, previous: Some(READY), outcomes: &[(SlotOutcome::Served, 5_000)], expected: Some(WARMING) },
+        HealthCase { name: "lost since", status: WARMING, previous: Some(READY), outcomes: &[(SlotOutcome::Served, 9_000), (SlotOutcome::Lost, 9_500)], expected: Some(WARMING) },
+        HealthCase { name: "shed since", status: WARMING, previous: Some(READY), outcomes: &[(SlotOutcome::Served, 9_000), (SlotOutcome::Shed, 9_500)], expected: Some(WARMING) },
+        HealthCase { name: "answered after a loss", status: WARMING, previous: Some(READY), outcomes: &[(SlotOutcome::Lost, 9_000), (SlotOutcome::Served, 9_500)], expected: None },
+        HealthCase { name: "a caller left since", status: WARMING, previous: Some(READY), outcomes: &[(SlotOutcome::Served, 9_000), (SlotOutcome::Abandoned, 9_500)], expected: None },
+        HealthCase { name: "draining once", status: DRAINING, previous: Some(READY), outcomes: &[], expected: None },
+        HealthCase { name: "draining at the first read", status: DRAINING, previous: None, outcomes: &[], expected: None },
+        HealthCase { name: "draining twice", status: DRAINING, previous: Some(DRAINING), outcomes: &[(SlotOutcome::Served, 9_900)], expected: Some(DRAINING) },
     ];
     for case in cases {
-        let mut evidence = RequestEvidence::default();
-        for (end, millis) in case.ends {
-            evidence.note(*end, at(*millis));
+        let mut passive = PassiveHealth::default();
+        for (outcome, millis) in case.outcomes {
+            passive.record(*outcome, at(*millis));
         }
-        let believed = believed_word(case.word, case.before, evidence, at(10_000));
-        assert_eq!(believed, case.expected, "{}", case.name);
+        let trusted = trusted_status(case.status, case.previous, passive, at(10_000));
+        assert_eq!(trusted, case.expected, "{}", case.name);
     }
 }
--- a/crates/placement/tests/all/invariants.rs
+++ b/crates/placement/tests/all/invariants.rs
@@ -1,11 +1,11 @@
-//! Rules of the gate under any sequence of events.
+//! Invariants of the gate under any sequence of events.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 use lovagelatch_domain::{AttemptId, GateCondition, Moment};
 use lovagelatch_placement::{
-    GateAction, GateRequest, GateSettings, GateVerdict, RequestGate, SlotEnd,
+    GateAction, GateRequest, GateSettings, GateVerdict, RequestGate, SlotOutcome,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -17,15 +17,15 @@
 enum Step {
     Offer {
         agency: u8,
-        patience: u16,
+        timeout_ms: u16,
     },
     Repeat(u8),
     Finish(u8, u8),
-    Withdraw(u8),
+    Cancel(u8),
     Advance,
     Condition(u8),
-    /// Time passes; seldom very much, as for a process that was stopped.
-    Pass(u16),
+    /// Time passes, in milliseconds; rarely a long time, as for a stopped process.
+    Elapse(u16),
 }
 
 impl Arbitrary for Step {
@@ -33,19 +33,19 @@
         match u8::arbitrary(g) % 12 {
             0..=4 => Self::Offer {
                 agency: u8::arbitrary(g) % 4,
-                patience: u16::arbitrary(g) % 3_000,
+                timeout_ms: u16::arbitrary(g) % 3_000,
             },
             5 => Self::Repeat(u8::arbitrary(g)),
             6..=7 => Self::Finish(u8::arbitrary(g), u8::arbitrary(g) % 3),
-            8 => Self::Withdraw(u8::arbitrary(g)),
+            8 => Self::Cancel(u8::arbitrary(g)),
             9 => Self::Advance,
             10 => Self::Condition(u8::arbitrary(g) % 6),
-            _ => Self::Pass(u16::arbitrary(g) >> (u8::arbitrary(g) % 16)),
+            _ => Self::Elapse(u16::arbitrary(g) >> (u8::arbitrary(g) % 16)),
         }
     }
 }
 
-/// What an outside observer knows of each attempt.
+/// The state of each attempt as seen from outside the gate.
 struct Observer {
     gate: RequestGate,
     now: Moment,
@@ -53,7 +53,7 @@
     waiting: Vec<AttemptId>,
     running: Vec<AttemptId>,
     ended: HashSet<AttemptId>,
-    made: u128,
+    offered: u128,
 }
 
 impl Observer {
@@ -66,7 +66,7 @@
         self.running.push(attempt);
         assert!(
             self.running.len() <= usize::from(SLOTS),
-            "more than its slots"
+            "more requests run than slots"
         );
     }
 
@@ -78,9 +78,9 @@
     fn apply(&mut self, actions: &[GateAction]) {
         for action in actions {
             let (GateAction::Start(attempt) | GateAction::Refuse { attempt, .. }) = *action;
-            let place = self.waiting.iter().position(|one| *one == attempt);
+            let position = self.waiting.iter().position(|held| *held == attempt);
             self.waiting
-                .remove(place.expect("only what waits is acted on"));
+                .remove(position.expect("actions name only queued attempts"));
             match action {
                 GateAction::Start(_) => self.start(attempt),
                 GateAction::Refuse { .. } => self.refuse(attempt),
@@ -88,10 +88,10 @@
         }
     }
 
-    fn offer(&mut self, agency_number: u8, patience: u16) {
-        self.made += 1;
-        let attempt = AttemptId(self.made);
-        let deadline = self.now + Duration::from_millis(patience.into());
+    fn offer(&mut self, agency_number: u8, timeout_ms: u16) {
+        self.offered += 1;
+        let attempt = AttemptId(self.offered);
+        let deadline = self.now + Duration::from_millis(timeout_ms.into());
         self.deadlines.insert(attempt, deadline);
         let request = GateRequest {
             attempt,
@@ -103,7 +103,7 @@
             GateVerdict::Start => self.start(attempt),
             GateVerdict::Queued => self.waiting.push(attempt),
             GateVerdict::Refused { .. } => self.refuse(attempt),
-            GateVerdict::Duplicate => panic!("a fresh attempt is no duplicate"),
+            GateVerdict::Duplicate => panic!("a new attempt is not a duplicate"),
         }
     }
 
@@ -112,7 +112,7 @@
             (!list.is_empty()).then(|| list[usize::from(number) % list.len()])
         };
         match *step {
-            Step::Offer { agency, patience } => self.offer(agency, patience),
+            Step::Offer { agency, timeout_ms } => self.offer(agency, timeout_ms),
             Step::Repeat(number) => {
                 let held: Vec<_> = self.running.iter().chain(&self.waiting).copied().collect();
                 if let Some(attempt) = pick(&held, number) {
@@ -128,17 +128,18 @@
             }
             Step::Finish(number, end) => {
                 if let Some(attempt) = pick(&self.running, number) {
-                    self.running.retain(|one| *one != attempt);
+                    self.running.retain(|held| *held != attempt);
                     self.ended.insert(attempt);
-                    let end = [SlotEnd::Served, SlotEnd::Shed, SlotEnd::Lost][usize::from(end)];
+                    let end = [SlotOutcome::Served, SlotOutcome::Shed, SlotOutcome::Lost]
+                        [usize::from(end)];
                     let actions = self.gate.finish(attempt, end, self.now);
                     self.apply(&actions);
                 }
             }
-            Step::Withdraw(number) => {
+            Step::Cancel(number) => {
                 if let Some(attempt) = pick(&self.waiting, number) {
-                    assert!(self.gate.withdraw(attempt, self.now));
-                    self.waiting.retain(|one| *one != attempt);
+                    assert!(self.gate.cancel_queued(attempt, self.now));
+                    self.waiting.retain(|held| *held != attempt);
                     self.refuse(attempt);
                 }
             }
@@ -157,7 +158,7 @@
                 let actions = self.gate.set_condition(condition, self.now);
                 self.apply(&actions);
             }
-            Step::Pass(millis) => self.now = self.now + Duration::from_millis(millis.into()),
+            Step::Elapse(millis) => self.now = self.now + Duration::from_millis(millis.into()),
         }
         let report = self.gate.report(self.now);
         assert_eq!(usize::from(report.in_use), self.running.len());
@@ -165,7 +166,7 @@
     }
 }
 
-fn holds_rules(steps: Vec<Step>) -> bool {
+fn keeps_invariants(steps: Vec<Step>) -> bool {
     let mut observer = Observer {
         gate: RequestGate::new(GateSettings::new(SLOTS).with_queue_limit(8)),
         now: Moment::ZERO,
@@ -173,12 +174,12 @@
         waiting: Vec::new(),
         running: Vec::new(),
         ended: HashSet::new(),
-        made: 0,
+        offered: 0,
     };
     for step in &steps {
         observer.step(step);
     }
-    // Nothing is left behind: in the end all deadlines pass.
+    // No request may remain queued once all deadlines have passed.
     observer.now = observer.now + Duration::from_secs(1_000);
     let actions = observer.gate.advance(observer.now);
     observer.apply(&actions);
@@ -190,5 +191,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 7))
         .tests(3_000)
-        .quickcheck(holds_rules as fn(Vec<Step>) -> bool);
+        .quickcheck(keeps_invariants as fn(Vec<Step>) -> bool);
 }
--- a/crates/placement/tests/all/main.rs
+++ b/crates/placement/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions under load.
+//! Tests of admission control and placement.
 
 mod budget;
 mod fairness;
--- a/crates/placement/tests/all/placement.rs
+++ b/crates/placement/tests/all/placement.rs
@@ -1,9 +1,9 @@
-//! The choice between the own gate and the peers'.
+//! The choice between the local gate and the gates of the peers.
 
 use std::time::Duration;
 
 use lovagelatch_domain::{AgentAddress, GateCondition, GateReport, PeerReport, RefusalReason};
-use lovagelatch_placement::{ExchangeEnd, PeerPlacement, PlacementChoice, PlacementSettings};
+use lovagelatch_placement::{ExchangeOutcome, PeerPlacement, PlacementChoice, PlacementSettings};
 
 use crate::support::{SERVICE, agent, at, millis, peer, report};
 
@@ -56,19 +56,19 @@
     };
     #[rustfmt::skip]
     let cases = [
-        ChoiceCase { name: "own gate free", own: report(1, 0), peers: vec![peer(2, report(0, 0), now)], tried: vec![], expected: own },
-        ChoiceCase { name: "own gate full", own: report(3, 0), peers: vec![peer(2, report(0, 0), now)], tried: vec![], expected: two },
+        ChoiceCase { name: "local gate free", own: report(1, 0), peers: vec![peer(2, report(0, 0), now)], tried: vec![], expected: own },
+        ChoiceCase { name: "local gate full", own: report(3, 0), peers: vec![peer(2, report(0, 0), now)], tried: vec![], expected: two },
         ChoiceCase { name: "less queued", own: report(3, 9), peers: vec![peer(2, report(3, 6), now), peer(3, report(3, 1), now)], tried: vec![], expected: three },
-        ChoiceCase { name: "own gate leaving", own: leaving, peers: vec![peer(2, report(3, 5), now)], tried: vec![], expected: two },
+        ChoiceCase { name: "local gate leaving", own: leaving, peers: vec![peer(2, report(3, 5), now)], tried: vec![], expected: two },
         ChoiceCase { name: "peer leaving", own: report(3, 9), peers: vec![peer(2, leaving, now)], tried: vec![], expected: own },
-        ChoiceCase { name: "peer warms long", own: report(3, 2), peers: vec![peer(2, warming(4_000), now)], tried: vec![], expected: own },
+        ChoiceCase { name: "peer has a long warm-up", own: report(3, 2), peers: vec![peer(2, warming(4_000), now)], tried: vec![], expected: own },
         ChoiceCase { name: "peer is nearly warm", own: report(3, 9), peers: vec![peer(2, warming(50), now)], tried: vec![], expected: two },
         ChoiceCase { name: "same zone first", own: report(3, 3), peers: vec![far, peer(3, report(0, 0), now)], tried: vec![], expected: three },
         ChoiceCase { name: "suspected last", own: report(3, 9), peers: vec![suspected.clone(), peer(3, report(3, 8), now)], tried: vec![], expected: three },
-        ChoiceCase { name: "suspected before none", own: report(3, 0), peers: vec![suspected], tried: vec![agent(1)], expected: two },
-        ChoiceCase { name: "tried left out", own: report(3, 0), peers: vec![peer(2, report(0, 0), now), peer(3, report(3, 9), now)], tried: vec![agent(1), agent(2)], expected: three },
+        ChoiceCase { name: "suspected rather than none", own: report(3, 0), peers: vec![suspected], tried: vec![agent(1)], expected: two },
+        ChoiceCase { name: "tried peers are excluded", own: report(3, 0), peers: vec![peer(2, report(0, 0), now), peer(3, report(3, 9), now)], tried: vec![agent(1), agent(2)], expected: three },
         ChoiceCase { name: "all tried", own: report(3, 0), peers: vec![peer(2, report(0, 0), now)], tried: vec![agent(1), agent(2)], expected: none },
-        ChoiceCase { name: "hopeless everywhere", own: report(3, 900), peers: vec![peer(2, report(3, 800), now)], tried: vec![], expected: own },
+        ChoiceCase { name: "no gate meets the deadline", own: report(3, 900), peers: vec![peer(2, report(3, 800), now)], tried: vec![], expected: own },
     ];
     for case in cases {
         let mut placement = new_placement();
@@ -77,11 +77,10 @@
     }
 }
 
-// Symptom: all requests of a burst go to the one peer whose report was best.
-// Sequence: a report says "idle"; a hundred requests come before the next report.
-// Cause: what was sent since the report was not counted.
+// Guards against a burst that is sent to the one peer with the best report: a hundred requests
+// arrive before its next report, and requests sent since the last one are not counted.
 #[test]
-fn what_was_sent_since_a_report_counts() {
+fn requests_sent_since_a_report_count() {
     let now = at(1_000);
     let reports = [
         (
@@ -109,7 +108,7 @@
             let PlacementChoice::Peer(chosen) = choice else {
                 panic!("{name}: {choice:?}");
             };
-            placement.sent(chosen, now);
+            placement.record_sent(chosen, now);
             sent[usize::from(chosen.0.ip().octets()[3])] += 1;
         }
         let is_even = sent[2..].iter().all(|count| expected.contains(count));
@@ -117,46 +116,47 @@
     }
 }
 
-// Symptom: one target is overrun while the others idle.
-// Sequence: its reports say "idle" for ever, heartbeats and answers alike.
-// Cause: reports were believed against what own exchanges showed.
+// Guards against an overloaded target while others are idle: its heartbeats and answers always
+// report "idle", and reports take precedence over measured response times and refusals.
 #[test]
-fn measured_times_and_refusals_outrank_a_false_report() {
-    let slow = ExchangeEnd::Answered {
-        took: SERVICE * 20,
+fn measured_times_and_refusals_override_a_false_report() {
+    let slow = ExchangeOutcome::Answered {
+        response_time: SERVICE * 20,
         report: Some(report(0, 0)),
     };
-    let refused = ExchangeEnd::Refused {
+    let refused = ExchangeOutcome::Refused {
         reason: RefusalReason::TooLate,
         retry_after: millis(800),
     };
-    let usual = ExchangeEnd::Answered {
-        took: SERVICE,
+    let usual = ExchangeOutcome::Answered {
+        response_time: SERVICE,
         report: Some(report(3, 1)),
     };
-    for evidence in [slow, refused, ExchangeEnd::Lost] {
+    for outcome in [slow, refused, ExchangeOutcome::Lost] {
         let mut placement = new_placement();
         for _ in 0..10 {
-            placement.observed(agent(2), evidence, at(1_000));
-            placement.observed(agent(3), usual, at(1_000));
+            placement.record_outcome(agent(2), outcome, at(1_000));
+            placement.record_outcome(agent(3), usual, at(1_000));
         }
         let now = at(1_010);
         let peers = [peer(2, report(0, 0), now), peer(3, report(3, 1), now)];
         let choice = placement.choose(&report(3, 9), &peers, &[], TIME_LEFT, now);
-        assert_eq!(choice, PlacementChoice::Peer(agent(3)), "{evidence:?}");
+        assert_eq!(choice, PlacementChoice::Peer(agent(3)), "{outcome:?}");
     }
 }
 
-// Symptom: a target that was slow for a minute is avoided for ever.
-// Sequence: its times were bad, so nothing is sent there, so its times are never measured anew.
-// Cause: measured times did not age.
+// Guards against a target that is avoided forever after a minute of slowness: no request is sent to
+// it, so its response times are never measured again, and the old ones do not decay.
 #[test]
-fn bad_times_are_forgiven() {
+fn slow_response_times_decay() {
     let mut placement = new_placement();
     for _ in 0..10 {
-        for (number, took) in [(2, SERVICE * 20), (3, SERVICE)] {
-            let end = ExchangeEnd::Answered { took, report: None };
-            placement.observed(agent(number), end, at(0));
+        for (number, response_time) in [(2, SERVICE * 20), (3, SERVICE)] {
+            let end = ExchangeOutcome::Answered {
+                response_time,
+                report: None,
+            };
+            placement.record_outcome(agent(number), end, at(0));
         }
     }
     let chosen = |placement: &mut PeerPlacement, now| {
@@ -173,17 +173,16 @@
     );
 }
 
-// Symptom: requests queue at a target whose last answer showed a long queue.
-// Sequence: a heartbeat made before that answer comes after it and says "idle".
-// Cause: a heartbeat's time on the way is unknown, and the latest to come was believed.
+// Guards against queueing at a target whose latest answer reported a long queue: a delayed
+// heartbeat, made before that answer, arrives after it, says "idle", and is taken for newer.
 #[test]
-fn the_load_that_came_with_an_answer_outranks_a_heartbeat_just_after() {
+fn the_load_from_an_answer_overrides_a_heartbeat_just_after() {
     let mut placement = new_placement();
-    let end = ExchangeEnd::Answered {
-        took: SERVICE,
+    let end = ExchangeOutcome::Answered {
+        response_time: SERVICE,
         report: Some(report(3, 12)),
     };
-    placement.observed(agent(2), end, at(1_000));
+    placement.record_outcome(agent(2), end, at(1_000));
     let chosen = |placement: &mut PeerPlacement, received| {
         let peers = [peer(2, report(0, 0), at(received))];
         placement.choose(&report(3, 1), &peers, &[], TIME_LEFT, at(received))
@@ -195,12 +194,11 @@
     );
 }
 
-// Symptom: requests go to a target that leaves, or wait for one that starts anew.
-// Sequence: an answer shows it open; then its heartbeat says that it leaves or warms, or the
-// other way round. Cause: the load of the answer outranks the heartbeat's, and took the
-// condition with it.
+// Guards against requests sent to a leaving target or queued at a restarting one. An answer reports
+// the target as open and a later heartbeat reports it as leaving or warming, or the other way
+// round; the load of the answer takes precedence, but its condition must not.
 #[test]
-fn the_condition_told_last_counts() {
+fn the_condition_received_last_counts() {
     let warming = GateCondition::Warming {
         remaining: millis(4_000),
     };
@@ -215,11 +213,11 @@
         ];
         for (name, (answer, answered), (heartbeat, received), expected) in cases {
             let mut placement = new_placement();
-            let end = ExchangeEnd::Answered {
-                took: SERVICE,
+            let end = ExchangeOutcome::Answered {
+                response_time: SERVICE,
                 report: Some(answer),
             };
-            placement.observed(agent(2), end, at(answered));
+            placement.record_outcome(agent(2), end, at(answered));
             let peers = [peer(2, heartbeat, at(received))];
             let choice = placement.choose(&report(3, 3), &peers, &[], TIME_LEFT, at(1_200));
             assert_eq!(choice, expected, "{name}, {:?}", closed.condition);
@@ -228,7 +226,7 @@
 }
 
 #[test]
-fn equal_gates_get_equal_shares_although_the_own_one_is_nearest() {
+fn equal_gates_get_equal_shares_although_the_local_one_is_nearest() {
     let mut placement = new_placement();
     let mut own = 0;
     for step in 0..3_000 {
--- a/crates/placement/tests/all/policy.rs
+++ b/crates/placement/tests/all/policy.rs
@@ -1,4 +1,4 @@
-//! The baselines behind the same trait.
+//! The baseline policies behind `PlacementPolicy`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const CHOICES: u32 = 3_000;
 
-/// Choices by gate among an own gate with 1 in use and peers with 0 and 3.
+/// Counts the choices by gate: a local gate with 1 request in use and peers with 0 and 3.
 fn spread(mut policy: impl PlacementPolicy) -> BTreeMap<u8, u32> {
     let peers = [peer(2, report(0, 0), at(0)), peer(3, report(3, 0), at(0))];
     let mut counts = BTreeMap::new();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn baselines_spread_as_their_names_say() {
+fn baselines_spread_requests_according_to_their_names() {
     let third = CHOICES / 3;
     let round = spread(RoundRobin::new(agent(1), 7));
     assert!(round.values().all(|count| *count == third), "{round:?}");
@@ -42,7 +42,7 @@
     let two = spread(TwoChoices::new(agent(1), 7));
     assert!(
         !two.contains_key(&3),
-        "the fullest loses every pair: {two:?}"
+        "the most loaded gate loses every pair: {two:?}"
     );
     assert!(two[&2].abs_diff(2 * third) < third / 5, "{two:?}");
 }
--- a/crates/placement/tests/all/subset.rs
+++ b/crates/placement/tests/all/subset.rs
@@ -1,4 +1,4 @@
-//! The peers of a large service.
+//! Subsetting of the peers of a large service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/placement/tests/all/support.rs
+++ b/crates/placement/tests/all/support.rs
@@ -39,14 +39,14 @@
 }
 
 pub(crate) fn new_gate(slots: u16) -> RequestGate {
-    RequestGate::new(GateSettings::new(slots).with_first_service_time(SERVICE))
+    RequestGate::new(GateSettings::new(slots).with_initial_service_time(SERVICE))
 }
 
 pub(crate) fn agent(number: u8) -> AgentAddress {
     AgentAddress(SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, number), 7_000))
 }
 
-/// A report of a gate with three slots.
+/// Builds the report of a gate with three slots.
 pub(crate) fn report(in_use: u16, queued: u32) -> GateReport {
     let turns = (u32::from(in_use) + queued + 1).saturating_sub(3);
     GateReport {
--- a/standins/experiments/src/chain.rs
+++ b/standins/experiments/src/chain.rs
@@ -66,13 +66,13 @@
         let Some(budget) = self.budgets.get_mut(link) else {
             return (1, allowance);
         };
-        budget.note_request(now);
+        budget.record_request(now);
         let (mut reached, returned) = self.run(link + 1, allowance, now);
-        let mut allowance = allowance.after(returned);
+        let mut allowance = allowance.capped_by(returned);
         let mut retries = 0;
         while let Some(next) = self.next_attempt(link, allowance, retries, now) {
             let (again, returned) = self.run(link + 1, next, now);
-            allowance = next.after(returned);
+            allowance = next.capped_by(returned);
             retries += 1;
             reached += again;
         }
@@ -90,7 +90,7 @@
             RetryRule::Fixed => (retries < FIXED_RETRIES).then_some(allowance),
             RetryRule::Budget => self.budgets[link].try_spend(now).then_some(allowance),
             RetryRule::BudgetAndAllowance => {
-                let next = allowance.retry()?;
+                let next = allowance.for_retry()?;
                 self.budgets[link].try_spend(now).then_some(next)
             }
         }
--- a/standins/experiments/src/contest.rs
+++ b/standins/experiments/src/contest.rs
@@ -55,17 +55,17 @@
         match self {
             Self::Ours | Self::OneQueue => run(scenario, name, PeerPlacement::new),
             Self::OursWithoutSetup => run(scenario, name, |settings| {
-                PeerPlacement::new(settings.with_counts_setup(false))
+                PeerPlacement::new(settings.with_counts_warmup(false))
             }),
             Self::OursHeartbeatsOnly => {
                 let mut scenario = scenario.clone();
                 scenario.answer_reports = false;
                 run(&scenario, name, PeerPlacement::new)
             }
-            Self::RoundRobin => run(scenario, name, |s| RoundRobin::new(s.own, s.seed)),
-            Self::Random => run(scenario, name, |s| RandomChoice::new(s.own, s.seed)),
-            Self::LeastLoad => run(scenario, name, |s| LeastLoad::new(s.own, s.seed)),
-            Self::TwoChoices => run(scenario, name, |s| TwoChoices::new(s.own, s.seed)),
+            Self::RoundRobin => run(scenario, name, |s| RoundRobin::new(s.own_address, s.seed)),
+            Self::Random => run(scenario, name, |s| RandomChoice::new(s.own_address, s.seed)),
+            Self::LeastLoad => run(scenario, name, |s| LeastLoad::new(s.own_address, s.seed)),
+            Self::TwoChoices => run(scenario, name, |s| TwoChoices::new(s.own_address, s.seed)),
         }
     }
 }
--- a/standins/experiments/src/world.rs
+++ b/standins/experiments/src/world.rs
@@ -19,7 +19,7 @@
     AgencyName, AgentAddress, AttemptId, GateCondition, GateReport, Moment, RefusalReason,
 };
 use lovagelatch_placement::{
-    ExchangeEnd, GateRequest, GateVerdict, PlacementChoice, PlacementPolicy, PlacementSettings,
+    ExchangeOutcome, GateRequest, GateVerdict, PlacementChoice, PlacementPolicy, PlacementSettings,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -193,7 +193,7 @@
         let gate = peer.map_or(holder, index_of);
         let at = self.now + self.way(holder, gate);
         if let Some(peer) = peer {
-            self.agents[holder].placement.sent(peer, self.now);
+            self.agents[holder].placement.record_sent(peer, self.now);
         }
         let entry = SimAttempt {
             request,
@@ -254,9 +254,9 @@
         let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
-        let took = self.now.since(entry.sent_at);
-        let end = ExchangeEnd::Answered {
-            took,
+        let response_time = self.now.since(entry.sent_at);
+        let end = ExchangeOutcome::Answered {
+            response_time,
             report: Some(report).filter(|_| self.scenario.answer_reports),
         };
         self.note_exchange(entry.request.holder, gate, end);
@@ -277,7 +277,7 @@
         let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
-        let end = ExchangeEnd::Refused {
+        let end = ExchangeOutcome::Refused {
             reason,
             retry_after,
         };
@@ -294,13 +294,13 @@
         }
     }
 
-    fn note_exchange(&mut self, holder: usize, gate: usize, end: ExchangeEnd) {
+    fn note_exchange(&mut self, holder: usize, gate: usize, end: ExchangeOutcome) {
         if gate == holder {
             return;
         }
         let placement = &mut self.agents[holder].placement;
-        placement.ended(address_of(gate), self.now);
-        placement.observed(address_of(gate), end, self.now);
+        placement.record_ended(address_of(gate), self.now);
+        placement.record_outcome(address_of(gate), end, self.now);
     }
 
     fn give_up(&mut self, request: &SimRequest) {
--- a/standins/experiments/src/world/agent.rs
+++ b/standins/experiments/src/world/agent.rs
@@ -56,7 +56,7 @@
         });
     let seed = scenario.seed.wrapping_mul(1_000_003) + index as u64;
     let settings = PlacementSettings::new(address, zone.clone())
-        .with_hops(LOCAL_WAY * 2, ZONE_WAY * 2)
+        .with_rtts(LOCAL_WAY * 2, ZONE_WAY * 2)
         .with_seed(seed);
     SimAgent {
         zone,
--- a/standins/experiments/src/world/callers.rs
+++ b/standins/experiments/src/world/callers.rs
@@ -37,7 +37,7 @@
         let agency = self.agency_of(class);
         self.agents[request.holder]
             .budgets
-            .note_request(agency.as_ref(), self.now);
+            .record_request(agency.as_ref(), self.now);
         self.place(request);
     }
 
--- a/standins/experiments/src/world/servers.rs
+++ b/standins/experiments/src/world/servers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lovagelatch_domain::{AttemptId, Moment, RefusalReason};
-use lovagelatch_placement::{GateAction, PlacementPolicy, SlotEnd};
+use lovagelatch_placement::{GateAction, PlacementPolicy, SlotOutcome};
 use smallvec::SmallVec;
 
 use super::World;
@@ -50,7 +50,7 @@
         }
         let actions = self.agents[gate]
             .gate
-            .finish(attempt, SlotEnd::Served, self.now);
+            .finish(attempt, SlotOutcome::Served, self.now);
         let report = shown_report(&self.agents[gate].gate, gate, self.scenario.fault, self.now);
         self.apply(gate, actions);
         let at = self.now + self.way(holder, gate);
@@ -65,7 +65,7 @@
     pub(super) fn shed(&mut self, attempt: AttemptId, gate: usize) {
         let actions = self.agents[gate]
             .gate
-            .finish(attempt, SlotEnd::Shed, self.now);
+            .finish(attempt, SlotOutcome::Shed, self.now);
         self.apply(gate, actions);
         self.refuse(attempt, gate, RefusalReason::Shed, OUTAGE_ANSWER);
     }
--- a/tests/matrix/src/leaving.rs
+++ b/tests/matrix/src/leaving.rs
@@ -14,7 +14,7 @@
 };
 use lovagelatch_placement::{
     GateRequest, GateSettings, GateVerdict, PeerPlacement, PlacementChoice, PlacementSettings,
-    RequestGate, SlotEnd,
+    RequestGate, SlotOutcome,
 };
 use lovagelatch_routing::{
     ArrivalDecision, ArrivalPacket, FlowHolding, FlowRouter, PacketView, RouteDecision,
@@ -416,7 +416,7 @@
             deadline: now + PATIENCE,
         };
         if agent.gate.offer(request, now) == GateVerdict::Start {
-            agent.gate.finish(attempt, SlotEnd::Served, now);
+            agent.gate.finish(attempt, SlotOutcome::Served, now);
             let address = agent.address;
             self.history.note(now, MatrixEvent::WorkTaken(address));
         }
--- a/tests/matrix/src/requests/agent.rs
+++ b/tests/matrix/src/requests/agent.rs
@@ -12,7 +12,7 @@
 use lovagelatch_ledger::{LedgerSettings, RequestLedger};
 use lovagelatch_placement::{
     BudgetSettings, GateAction, GateRequest, GateSettings, GateVerdict, PeerPlacement,
-    PlacementChoice, PlacementSettings, RequestGate, RetryBudget, SlotEnd,
+    PlacementChoice, PlacementSettings, RequestGate, RetryBudget, SlotOutcome,
 };
 
 use super::job::{Job, JobEnd, JobPhase, ReplyTo};
@@ -64,7 +64,7 @@
         let address = agent_address(number);
         let incarnation = Incarnation(number as u64 * 1_000 + start);
         let zone = "lahore-a".parse().expect("a valid name");
-        let gate = GateSettings::new(SLOTS).with_first_service_time(Duration::from_millis(60));
+        let gate = GateSettings::new(SLOTS).with_initial_service_time(Duration::from_millis(60));
         let gate = RequestGate::new(gate);
         let settings = PlacementSettings::new(address, zone).with_seed(number as u64);
         Self {
@@ -79,7 +79,7 @@
             gate,
             ledger: RequestLedger::new(LedgerSettings::new(address, incarnation, TICKET_LIFETIME)),
             placement: PeerPlacement::new(settings),
-            budget: RetryBudget::new(BudgetSettings::new().with_share(0.5)),
+            budget: RetryBudget::new(BudgetSettings::new().with_retry_ratio(0.5)),
             jobs: BTreeMap::new(),
             next_job: 0,
             waiters: HashMap::new(),
@@ -100,7 +100,7 @@
             return self.relay(agent, id, home);
         }
         if dispatches {
-            own.budget.note_request(now);
+            own.budget.record_request(now);
             return self.place(agent, id);
         }
         self.run_own(agent, id);
@@ -222,7 +222,7 @@
                 jobs.filter(|(_, job)| job.attempt == attempt && job.phase == JobPhase::Queued);
             let Some(id) = queued.next().map(|(id, _)| *id) else {
                 if matches!(action, GateAction::Start(_)) {
-                    self.free_slot(agent, attempt, SlotEnd::Lost);
+                    self.free_slot(agent, attempt, SlotOutcome::Lost);
                 }
                 continue;
             };
@@ -240,7 +240,7 @@
         }
     }
 
-    pub(crate) fn free_slot(&mut self, agent: usize, attempt: AttemptId, end: SlotEnd) {
+    pub(crate) fn free_slot(&mut self, agent: usize, attempt: AttemptId, end: SlotOutcome) {
         let now = self.queue.now();
         let actions = self.agents[agent].gate.finish(attempt, end, now);
         self.act(agent, &actions);
--- a/tests/matrix/src/requests/exchange.rs
+++ b/tests/matrix/src/requests/exchange.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lovagelatch_domain::{AttemptId, RefusalReason};
-use lovagelatch_placement::SlotEnd;
+use lovagelatch_placement::SlotOutcome;
 
 use super::RequestStep;
 use super::job::{JobEnd, JobPhase, RunAnswer};
@@ -28,7 +28,7 @@
         let limit = job.time_left(now).saturating_sub(job.reserve());
         let limit = u64::try_from(limit.as_millis()).unwrap_or(0);
         if !self.backends[self.beside[agent]].running {
-            self.free_slot(agent, attempt, SlotEnd::Lost);
+            self.free_slot(agent, attempt, SlotOutcome::Lost);
             let address = self.agents[agent].address;
             return self.refused(agent, id, address, RefusalReason::NoTarget, UNREACHED_RETRY);
         }
@@ -105,7 +105,7 @@
         };
         let attempt = job.attempt;
         let confirmed = by.is_some_and(|by| by == backend || !self.mechanisms.same_server);
-        self.free_slot(agent, attempt, SlotEnd::Lost);
+        self.free_slot(agent, attempt, SlotOutcome::Lost);
         let end = match confirmed || !self.mechanisms.cancel_proof {
             true => JobEnd::NotRun(RefusalReason::TooLate, UNREACHED_RETRY),
             false => JobEnd::Unknown,
@@ -137,17 +137,17 @@
         let matching = self.mechanisms.matching;
         match answer {
             Some((_, None)) => {
-                self.free_slot(agent, attempt, SlotEnd::Shed);
+                self.free_slot(agent, attempt, SlotOutcome::Shed);
                 let address = self.agents[agent].address;
                 self.refused(agent, id, address, RefusalReason::Shed, UNREACHED_RETRY);
             }
             Some((named, Some(answer))) if named == attempt || !matching => {
-                self.free_slot(agent, attempt, SlotEnd::Served);
+                self.free_slot(agent, attempt, SlotOutcome::Served);
                 self.end_job(agent, id, JobEnd::Answered(answer.to_bytes(), true));
             }
             // The request may have run; whoever listens there now cannot tell.
             Some(_) | None if self.mechanisms.same_server => {
-                self.free_slot(agent, attempt, SlotEnd::Lost);
+                self.free_slot(agent, attempt, SlotOutcome::Lost);
                 self.end_job(agent, id, JobEnd::Unknown);
             }
             Some(_) | None => self.give_up(agent, id),
--- a/tests/matrix/src/requests/serve.rs
+++ b/tests/matrix/src/requests/serve.rs
@@ -106,7 +106,7 @@
         for (id, attempt, phase) in ids {
             match phase {
                 JobPhase::Queued => {
-                    self.agents[agent].gate.withdraw(attempt, now);
+                    self.agents[agent].gate.cancel_queued(attempt, now);
                     self.agents[agent].jobs.remove(&id);
                 }
                 _ => self.give_up(agent, id),
--- a/tests/matrix/src/requests/strike.rs
+++ b/tests/matrix/src/requests/strike.rs
@@ -162,7 +162,7 @@
         match phase {
             JobPhase::Running { .. } => self.give_up(holder, id),
             JobPhase::Queued => {
-                own.gate.withdraw(attempt, now);
+                own.gate.cancel_queued(attempt, now);
                 own.jobs.remove(&id);
             }
             JobPhase::Offering(stream) | JobPhase::Handed(stream, _) => {
