--- a/bins/agent/src/once/filing.rs
+++ b/bins/agent/src/once/filing.rs
@@ -46,7 +46,7 @@
         let ticket = match RequestTicket::open(key, &self.keys.load()) {
             Ok(ticket) if ticket.service == self.service => ticket,
             // No agent made it, so nothing can have run under it.
-            Err(TicketError::NotATicket | TicketError::Forged) => {
+            Err(TicketError::Malformed | TicketError::InvalidTag) => {
                 return AttemptEnd::NotRun(refusal);
             }
             // Its key generation was dropped, or its address passed to this service: its filing
--- a/bins/agent/src/packet/connection_id.rs
+++ b/bins/agent/src/packet/connection_id.rs
@@ -97,7 +97,7 @@
         let keys = self.keys.load();
         let generation = id.first().copied().map(KeyGeneration);
         let secret: &[u8; RESET_KEY_BYTES] = generation
-            .and_then(|generation| keys.reset_key_of(generation))
+            .and_then(|generation| keys.reset_key_for(generation))
             .unwrap_or_else(|| keys.reset_key());
         hmac::Key::new(hmac::HMAC_SHA256, secret)
     }
--- a/crates/keys/src/file.rs
+++ b/crates/keys/src/file.rs
@@ -1,4 +1,5 @@
-//! The key file: an INI section per generation, the current one named first.
+//! The key file: an INI section `[keys]` with one secret per generation and the number of the
+//! current one.
 //!
 //! ```ini
 //! [keys]
@@ -15,73 +16,74 @@
 
 use crate::ring::{FleetKeys, KeyGeneration, KeySecret, RingError, SECRET_BYTES};
 
-/// The largest key file that is read, in bytes.
+/// Larger key files are refused before they are read.
 const MAX_FILE_BYTES: u64 = 16 * 1024;
 
-/// The generation of a new file's only secret.
+/// The generation of the secret in a newly generated file.
 const FIRST_GENERATION: KeyGeneration = KeyGeneration(1);
 
-/// Permission bits that would let others than the owner read the file.
-const OTHERS_MAY_READ: u32 = 0o077;
+/// Permission bits of the group and of others; a key file must have none of them set.
+const GROUP_AND_OTHERS_MODE: u32 = 0o077;
 
 /// Why a key file was refused.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
-    /// It could not be read.
+    /// The file could not be read.
     #[error("key file {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// Others than its owner may read it.
-    #[error("key file {path} has mode {mode:03o}; take away the rights of group and others")]
-    OpenToOthers {
-        /// The file.
+    /// The file's mode gives rights to the group or to others.
+    #[error("key file {path} has mode {mode:03o}; remove all permissions of group and others")]
+    InsecureMode {
+        /// The path of the file.
         path: PathBuf,
         /// Its permission bits.
         mode: u32,
     },
-    /// It is larger than a key file can be.
-    #[error("key file of {length} bytes; it may have {MAX_FILE_BYTES} at most")]
+    /// The file is larger than 16 KiB.
+    #[error("key file has {length} bytes; the maximum is {MAX_FILE_BYTES}")]
     TooLarge {
-        /// Its length in bytes.
+        /// The file's length in bytes.
         length: u64,
     },
-    /// It is not INI text.
+    /// The text is not valid INI.
     #[error("key file line {line}: {reason}")]
-    NotIni {
-        /// The line, from 1.
+    InvalidSyntax {
+        /// The line number, from 1.
         line: usize,
-        /// What the INI parser said.
+        /// The INI parser's message.
         reason: String,
     },
-    /// The section `[keys]` or its field `current` is missing, or names no key in the file.
+    /// The section `[keys]` or its field `current` is missing, or `current` names no key in the
+    /// file.
     #[error("key file: section [keys] needs a field 'current' that names one of its keys")]
     NoCurrent,
     /// A field's name is not a number from 0 to 255.
     #[error("key file: {name:?} is not a generation from 0 to 255")]
-    BadGeneration {
-        /// The field's name.
+    InvalidGeneration {
+        /// The field name as written.
         name: String,
     },
-    /// A key is not 64 hexadecimal digits.
+    /// A secret is not 64 hexadecimal digits.
     #[error("key file: generation {generation} is not 64 hexadecimal digits")]
-    BadKey {
-        /// Its generation.
+    InvalidKey {
+        /// The generation of that secret.
         generation: KeyGeneration,
     },
-    /// The keys do not make a ring.
+    /// The secrets do not form a valid key ring.
     #[error("key file: {0}")]
     Ring(#[from] RingError),
 }
 
-/// Reads and checks a key file.
+/// Reads and validates a key file.
 ///
 /// # Errors
 ///
-/// A [`KeyFileError`] that says what to mend.
+/// Returns a [`KeyFileError`] that names the fault and, where it can, the remedy.
 pub fn read_key_file(path: &Path) -> Result<FleetKeys, KeyFileError> {
     let unreadable = |source| KeyFileError::Unreadable {
         path: path.to_owned(),
@@ -89,8 +91,8 @@
     };
     let metadata = std::fs::metadata(path).map_err(unreadable)?;
     let mode = metadata.permissions().mode() & 0o777;
-    if mode & OTHERS_MAY_READ != 0 {
-        return Err(KeyFileError::OpenToOthers {
+    if mode & GROUP_AND_OTHERS_MODE != 0 {
+        return Err(KeyFileError::InsecureMode {
             path: path.to_owned(),
             mode,
         });
@@ -104,41 +106,41 @@
     parse_key_file(&text)
 }
 
-/// Checks the text of a key file.
+/// Parses and validates the text of a key file.
 ///
 /// # Errors
 ///
-/// A [`KeyFileError`] that says what to mend.
+/// Returns a [`KeyFileError`] that names the fault and, where it can, the remedy.
 pub fn parse_key_file(text: &str) -> Result<FleetKeys, KeyFileError> {
     Ok(KeyFile::parse(text)?.keys()?)
 }
 
-/// The secrets of a key file, for the commands that change one.
+/// An editable key file, for the commands that create and rotate keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFile {
-    /// Invariant: the current secret stands first, and makes a valid ring with the others.
+    /// Invariant: the current secret comes first, and the secrets form a valid key ring.
     secrets: Vec<KeySecret>,
 }
 
 impl KeyFile {
-    /// A file with one new secret.
+    /// Creates a key file with one random secret.
     ///
     /// # Errors
     ///
-    /// [`RingError::NoRandomness`] when no secret can be drawn.
+    /// [`RingError::RandomSourceFailed`] when the operating system provides no random bytes.
     pub fn generate() -> Result<Self, RingError> {
         Ok(Self {
             secrets: vec![KeySecret::generate(FIRST_GENERATION)?],
         })
     }
 
-    /// Reads the text of a key file.
+    /// Parses and validates the text of a key file.
     ///
     /// # Errors
     ///
-    /// A [`KeyFileError`] that says what to mend.
+    /// Returns a [`KeyFileError`] that names the fault and, where it can, the remedy.
     pub fn parse(text: &str) -> Result<Self, KeyFileError> {
-        let file = Ini::load_from_str(text).map_err(|error| KeyFileError::NotIni {
+        let file = Ini::load_from_str(text).map_err(|error| KeyFileError::InvalidSyntax {
             line: error.line,
             reason: error.msg.to_string(),
         })?;
@@ -159,25 +161,27 @@
         Ok(file)
     }
 
-    /// The ring that the secrets make.
+    /// Derives the key ring from the secrets.
     ///
     /// # Errors
     ///
-    /// A [`RingError`] when they make none.
+    /// Returns a [`RingError`] when the secrets do not form a valid ring.
     pub fn keys(&self) -> Result<FleetKeys, RingError> {
         FleetKeys::new(&self.secrets)
     }
 
-    /// The generations, the current one first.
+    /// Returns the generations, the current one first.
     pub fn generations(&self) -> impl Iterator<Item = KeyGeneration> + '_ {
         self.secrets.iter().map(|secret| secret.generation)
     }
 
-    /// Adds a new secret that is accepted but not yet used, the first step of a rotation.
+    /// Adds a random secret that is accepted but not yet used for sealing: the first step of a
+    /// rotation.
     ///
     /// # Errors
     ///
-    /// [`RingError::TooMany`] when two are valid already.
+    /// [`RingError::TooMany`] when the file already holds two secrets, or
+    /// [`RingError::RandomSourceFailed`].
     pub fn add(&mut self) -> Result<KeyGeneration, RingError> {
         if self.secrets.len() > 1 {
             return Err(RingError::TooMany {
@@ -190,35 +194,37 @@
         Ok(generation)
     }
 
-    /// Makes the other secret the current one, once every process accepts it.
+    /// Makes the other secret the current one: the second step of a rotation. Every process must
+    /// accept that secret by then.
     ///
     /// # Errors
     ///
-    /// [`RingError::NoOther`] when there is only one.
+    /// [`RingError::SingleKey`] when the file holds only one secret.
     pub fn switch(&mut self) -> Result<KeyGeneration, RingError> {
         if self.secrets.len() < 2 {
-            return Err(RingError::NoOther);
+            return Err(RingError::SingleKey);
         }
         self.secrets.swap(0, 1);
         Ok(self.secrets[0].generation)
     }
 
-    /// Takes out the secret that is not current, once no open flow was opened under it.
+    /// Removes the secret that is not current: the last step of a rotation. Flows that were opened
+    /// under it must have ended by then.
     ///
     /// # Errors
     ///
-    /// [`RingError::NoOther`] when there is only one.
+    /// [`RingError::SingleKey`] when the file holds only one secret.
     pub fn drop_other(&mut self) -> Result<KeyGeneration, RingError> {
         if self.secrets.len() < 2 {
-            return Err(RingError::NoOther);
+            return Err(RingError::SingleKey);
         }
         self.secrets
             .pop()
             .map(|secret| secret.generation)
-            .ok_or(RingError::NoOther)
+            .ok_or(RingError::SingleKey)
     }
 
-    /// The text of the file.
+    /// Formats the key file as INI text.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::from("[keys]\n");
@@ -236,7 +242,7 @@
     let number = text.parse();
     number
         .map(KeyGeneration)
-        .map_err(|_| KeyFileError::BadGeneration {
+        .map_err(|_| KeyFileError::InvalidGeneration {
             name: text.to_owned(),
         })
 }
@@ -244,6 +250,6 @@
 fn parse_secret(name: &str, value: &str) -> Result<KeySecret, KeyFileError> {
     let generation = parse_generation(name)?;
     let mut bytes = [0; SECRET_BYTES];
-    hex::decode_to_slice(value, &mut bytes).map_err(|_| KeyFileError::BadKey { generation })?;
+    hex::decode_to_slice(value, &mut bytes).map_err(|_| KeyFileError::InvalidKey { generation })?;
     Ok(KeySecret::from_bytes(generation, bytes))
 }
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -1,19 +1,19 @@
-//! Keys of the fleet, and the names that are sealed with them.
+//! The fleet's keys, and the flow tokens and request tickets that are sealed with them.
 //!
-//! One secret per *generation* is shared by all balancers and agents through a key file. From
-//! it five keys are derived, each for one purpose, so that what leaks through one use says
-//! nothing about another:
+//! All balancers and agents share one secret per *generation* through a key file. Five keys are
+//! derived from each secret, one per purpose, so that a leak in one use reveals nothing about
+//! the others:
 //!
 //! ```text
 //! secret (32 bytes) --HKDF-SHA256--> token key   seals flow tokens in QUIC connection IDs
 //!                               +--> ticket key  seals once-only request tickets
 //!                               +--> frame key   authenticates frames between processes
-//!                               +--> reset key   makes QUIC stateless reset tokens
+//!                               +--> reset key   derives QUIC stateless reset tokens
 //!                               +--> placement   seeds the hash that places new flows
 //! ```
 //!
-//! Two generations are valid at a time: what is made uses the current one, what is read may
-//! use either. A rotation therefore breaks no open flow.
+//! Two generations are valid at a time: sealing uses the current one, opening accepts either.
+//! A rotation therefore does not break open flows.
 
 mod file;
 mod frame;
--- a/crates/keys/src/ring.rs
+++ b/crates/keys/src/ring.rs
@@ -9,16 +9,16 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Bytes of a fleet secret.
+/// Length of a fleet secret.
 pub(crate) const SECRET_BYTES: usize = 32;
 
-/// Bytes of the key that makes QUIC stateless reset tokens.
+/// Length of the key that derives QUIC stateless reset tokens.
 pub const RESET_KEY_BYTES: usize = 64;
 
-/// Half of the numbers that a generation may have.
-const HALF_OF_GENERATIONS: u8 = 1 << (u8::BITS - 1);
+/// Half the size of the generation number space, for comparison modulo 256.
+const HALF_GENERATION_SPACE: u8 = 1 << (u8::BITS - 1);
 
-/// The number of a fleet key. It travels in clear in whatever the key sealed.
+/// The number of a fleet key. It is sent in clear with everything that the key seals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyGeneration(pub u8);
@@ -29,35 +29,35 @@
     }
 }
 
-/// One fleet secret with its generation. Its bytes never appear in `Debug` output.
+/// A fleet secret with its generation. Its bytes never appear in `Debug` output.
 #[derive(Clone, PartialEq, Eq)]
 pub struct KeySecret {
-    /// The number it is known by.
+    /// The generation that the key file lists the secret under.
     pub generation: KeyGeneration,
     pub(crate) bytes: [u8; SECRET_BYTES],
 }
 
 impl KeySecret {
-    /// Draws a new secret from the operating system's random source.
+    /// Generates a secret from the operating system's random source.
     ///
     /// # Errors
     ///
-    /// [`RingError::NoRandomness`] when that source fails.
+    /// [`RingError::RandomSourceFailed`] when that source fails.
     pub fn generate(generation: KeyGeneration) -> Result<Self, RingError> {
         let mut bytes = [0; SECRET_BYTES];
         OsRng
             .try_fill_bytes(&mut bytes)
-            .map_err(|_| RingError::NoRandomness)?;
+            .map_err(|_| RingError::RandomSourceFailed)?;
         Ok(Self { generation, bytes })
     }
 
-    /// A secret with known bytes, for tests and for the key file's parser.
+    /// Creates a secret from known bytes, for the key file's parser and for tests.
     #[must_use]
     pub fn from_bytes(generation: KeyGeneration, bytes: [u8; SECRET_BYTES]) -> Self {
         Self { generation, bytes }
     }
 
-    /// The secret as the key file holds it.
+    /// Formats the secret as the key file stores it: 64 hexadecimal digits.
     #[must_use]
     pub fn to_hex(&self) -> String {
         hex::encode(self.bytes)
@@ -73,33 +73,33 @@
     }
 }
 
-/// Why a set of secrets is not a usable key ring.
+/// Why a set of secrets is not a valid key ring, or cannot be changed as requested.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RingError {
-    /// There is no secret at all.
-    #[error("no key is given")]
+    /// The set holds no secret.
+    #[error("the set of keys is empty")]
     Empty,
-    /// More secrets than the two that may be valid at a time.
-    #[error("{count} keys are given; at most two generations may be valid at a time")]
+    /// The set holds, or would hold, more than two secrets.
+    #[error("{count} keys; at most two generations may be valid at a time")]
     TooMany {
-        /// How many were given.
+        /// The number of secrets.
         count: usize,
     },
-    /// Two secrets carry one generation.
-    #[error("generation {0} is given twice")]
-    SameGeneration(KeyGeneration),
-    /// Two generations hold the same bytes, so that a rotation would change nothing.
+    /// Two secrets have the same generation.
+    #[error("generation {0} occurs twice")]
+    DuplicateGeneration(KeyGeneration),
+    /// Two generations hold the same bytes, so a rotation between them would change nothing.
     #[error("generations {0} and {1} hold the same key")]
-    SameKey(KeyGeneration, KeyGeneration),
-    /// Only one secret is there, where two are needed.
-    #[error("only one key is given; add another first")]
-    NoOther,
-    /// The operating system's random source failed.
+    DuplicateKey(KeyGeneration, KeyGeneration),
+    /// The operation needs a second secret.
+    #[error("the key file holds only one key; add another first")]
+    SingleKey,
+    /// The operating system provided no random bytes.
     #[error("the operating system's random source failed")]
-    NoRandomness,
+    RandomSourceFailed,
 }
 
-/// The keys derived from one secret.
+/// The keys that are derived from one secret, one per purpose.
 #[derive(Clone)]
 pub(crate) struct DerivedKeys {
     pub(crate) generation: KeyGeneration,
@@ -114,60 +114,60 @@
 
 impl DerivedKeys {
     fn new(secret: &KeySecret) -> Self {
-        let source = Hkdf::<Sha256>::new(Some(b"lovagelatch fleet key v1"), &secret.bytes);
+        let kdf = Hkdf::<Sha256>::new(Some(b"lovagelatch fleet key v1"), &secret.bytes);
         Self {
             generation: secret.generation,
-            token_cipher: Aes128::new(&Array::from(expand(&source, b"token cipher"))),
-            token_tag: expand(&source, b"token tag"),
-            ticket_cipher: Aes128::new(&Array::from(expand(&source, b"ticket cipher"))),
-            ticket_tag: expand(&source, b"ticket tag"),
-            frame_tag: expand(&source, b"frame tag"),
-            reset: expand(&source, b"stateless reset"),
+            token_cipher: Aes128::new(&Array::from(expand(&kdf, b"token cipher"))),
+            token_tag: expand(&kdf, b"token tag"),
+            ticket_cipher: Aes128::new(&Array::from(expand(&kdf, b"ticket cipher"))),
+            ticket_tag: expand(&kdf, b"ticket tag"),
+            frame_tag: expand(&kdf, b"frame tag"),
+            reset: expand(&kdf, b"stateless reset"),
             placement: [
-                u64::from_be_bytes(expand(&source, b"placement seed, first half")),
-                u64::from_be_bytes(expand(&source, b"placement seed, second half")),
+                u64::from_be_bytes(expand(&kdf, b"placement seed, first half")),
+                u64::from_be_bytes(expand(&kdf, b"placement seed, second half")),
             ],
         }
     }
 }
 
-/// Whether a generation is older than another, by the arithmetic of serial numbers (RFC 1982):
-/// the younger one is ahead by less than half of all numbers, so 0 follows on 255. Two that are
-/// exactly half apart follow neither way; then the lower number counts as older, so that all
-/// processes agree whichever is current.
-fn precedes(one: KeyGeneration, other: KeyGeneration) -> bool {
-    match other.0.wrapping_sub(one.0) {
+/// Returns whether `left` is older than `right` in serial number arithmetic (RFC 1982): the newer
+/// generation is ahead by less than half the number space, so 0 follows 255. RFC 1982 leaves a
+/// distance of exactly half undefined; here the lower number then counts as older, so that all
+/// processes agree whichever generation is current.
+fn precedes(left: KeyGeneration, right: KeyGeneration) -> bool {
+    match right.0.wrapping_sub(left.0) {
         0 => false,
-        HALF_OF_GENERATIONS => one.0 < other.0,
-        ahead => ahead < HALF_OF_GENERATIONS,
+        HALF_GENERATION_SPACE => left.0 < right.0,
+        ahead => ahead < HALF_GENERATION_SPACE,
     }
 }
 
-/// Derives one key of `N` bytes.
-fn expand<const N: usize>(source: &Hkdf<Sha256>, purpose: &[u8]) -> [u8; N] {
+/// Derives a key of `N` bytes for one purpose.
+fn expand<const N: usize>(kdf: &Hkdf<Sha256>, purpose: &[u8]) -> [u8; N] {
     let mut key = [0; N];
-    source
-        .expand(purpose, &mut key)
-        .expect("every derived key is far below HKDF's limit");
+    kdf.expand(purpose, &mut key)
+        .expect("derived keys are far shorter than HKDF's limit");
     key
 }
 
-/// The fleet keys that are valid now.
+/// The key ring: the generations of the fleet key that are valid, one or two.
 #[derive(Clone)]
 pub struct FleetKeys {
-    /// Invariant: seals everything that is made.
+    /// Seals all new tokens, tickets and frames.
     current: DerivedKeys,
-    /// Invariant: another generation than `current`; only opens what was sealed before a
-    /// rotation, or after it by a process that has rotated already.
+    /// Only opens: accepts what was sealed before the last switch, or by a process that has
+    /// already switched. Invariant: differs from `current` in generation and bytes.
     other: Option<DerivedKeys>,
 }
 
 impl FleetKeys {
-    /// Builds the ring; the first secret is the current one.
+    /// Builds the key ring; the first secret is the current one.
     ///
     /// # Errors
     ///
-    /// A [`RingError`] when there are none, too many, or two that are alike.
+    /// Returns a [`RingError`] when there are no secrets, more than two, or two with the same
+    /// generation or bytes.
     pub fn new(secrets: &[KeySecret]) -> Result<Self, RingError> {
         match secrets {
             [] => Err(RingError::Empty),
@@ -175,17 +175,17 @@
                 current: DerivedKeys::new(only),
                 other: None,
             }),
-            [first, second] => Self::with_pair(first, second),
+            [first, second] => Self::from_pair(first, second),
             more => Err(RingError::TooMany { count: more.len() }),
         }
     }
 
-    fn with_pair(first: &KeySecret, second: &KeySecret) -> Result<Self, RingError> {
+    fn from_pair(first: &KeySecret, second: &KeySecret) -> Result<Self, RingError> {
         if first.generation == second.generation {
-            return Err(RingError::SameGeneration(first.generation));
+            return Err(RingError::DuplicateGeneration(first.generation));
         }
         if first.bytes == second.bytes {
-            return Err(RingError::SameKey(first.generation, second.generation));
+            return Err(RingError::DuplicateKey(first.generation, second.generation));
         }
         Ok(Self {
             current: DerivedKeys::new(first),
@@ -193,45 +193,46 @@
         })
     }
 
-    /// The generation that seals what is made now.
+    /// Returns the generation that is used for sealing.
     #[must_use]
     pub fn current_generation(&self) -> KeyGeneration {
         self.current.generation
     }
 
-    /// The generations that are accepted.
+    /// Returns the generations that are accepted, the current one first.
     pub fn generations(&self) -> impl Iterator<Item = KeyGeneration> + '_ {
-        self.rings().map(|keys| keys.generation)
+        self.valid_keys().map(|keys| keys.generation)
     }
 
-    /// The key for QUIC stateless reset tokens, from the oldest valid generation so that a
-    /// reset still reaches flows opened before the last rotation.
+    /// Returns the key for QUIC stateless reset tokens. It comes from the oldest valid generation,
+    /// so that a reset still reaches flows that were opened before the last rotation.
     #[must_use]
     pub fn reset_key(&self) -> &[u8; RESET_KEY_BYTES] {
         &self.oldest().reset
     }
 
-    /// The seed of the hash that places new flows, from the oldest valid generation: during a
-    /// rotation, processes that have switched to the new key and processes that have not agree.
-    /// It changes when the oldest is dropped; processes that do so at different moments place
-    /// new flows differently meanwhile. Open flows do not depend on it.
+    /// Returns the seed of the hash that places new flows. It comes from the oldest valid
+    /// generation, so that processes agree during a rotation whether or not they have switched to
+    /// the new key. It changes when the oldest generation is dropped: until all processes have
+    /// dropped it, they place new flows differently. Open flows do not depend on it.
     ///
-    /// Without a secret seed a caller could choose connection IDs that all lead to one agent.
+    /// The seed is secret because callers could otherwise choose connection IDs that all hash to
+    /// one agent.
     #[must_use]
     pub fn placement_seed(&self) -> (u64, u64) {
         let [first, second] = self.oldest().placement;
         (first, second)
     }
 
-    /// The key for the stateless reset token of a connection ID that was sealed with
-    /// `generation`; `None` when that generation is not valid.
+    /// Returns the key for the stateless reset token of a connection ID that was sealed with
+    /// `generation`, or `None` when that generation is not valid.
     ///
-    /// A reset token is handed out with its connection ID. If a rotation changed the key in
-    /// between, a later reset would carry another token, the caller would ignore it, and a
-    /// dead flow would stay silent until its idle timeout. The generation in the connection
-    /// ID keeps the two together.
+    /// A reset token is issued together with its connection ID. If the key depended on the current
+    /// generation, a reset sent after a rotation would carry a different token: the caller would
+    /// ignore it and wait for its idle timeout. Taking the generation from the connection ID
+    /// prevents this.
     #[must_use]
-    pub fn reset_key_of(&self, generation: KeyGeneration) -> Option<&[u8; RESET_KEY_BYTES]> {
+    pub fn reset_key_for(&self, generation: KeyGeneration) -> Option<&[u8; RESET_KEY_BYTES]> {
         self.find(generation.0).map(|keys| &keys.reset)
     }
 
@@ -247,10 +248,11 @@
     }
 
     pub(crate) fn find(&self, generation: u8) -> Option<&DerivedKeys> {
-        self.rings().find(|keys| keys.generation.0 == generation)
+        self.valid_keys()
+            .find(|keys| keys.generation.0 == generation)
     }
 
-    fn rings(&self) -> impl Iterator<Item = &DerivedKeys> {
+    fn valid_keys(&self) -> impl Iterator<Item = &DerivedKeys> {
         std::iter::once(&self.current).chain(self.other.as_ref())
     }
 }
--- a/crates/keys/src/ticket.rs
+++ b/crates/keys/src/ticket.rs
@@ -1,14 +1,15 @@
-//! The request ticket: the `Idempotency-Key` that names the one agent that may run a filing.
+//! The request ticket: the `Idempotency-Key` that names the one agent that may run a once-only
+//! request, its home.
 //!
-//! Why: a filing must run at most once although callers retry it over other flows, balancers
-//! and agents while the fleet disagrees. The agent that hands a ticket out names itself in it,
-//! with its incarnation, so every attempt reaches that one ledger or none. A partition or a
-//! pause cannot make a second home.
+//! A once-only request must run at most once, although callers retry it over other flows,
+//! balancers and agents while the fleet's views differ. The agent that issues a ticket puts its
+//! own address and incarnation into it, so every attempt reaches that agent's ledger or none. A
+//! partition or a paused process cannot create a second home.
 //!
 //! ```text
 //! byte 0       generation, in clear
-//! bytes 1..33  two AES-128 blocks: address 4, port 2, spare 2, incarnation 8 |
-//!              service 4, serial 6, issued (seconds) 6; the second chained to the first
+//! bytes 1..33  two AES-128 blocks: address 4, port 2, reserved 2, incarnation 8 |
+//!              service 4, serial 6, issued (seconds) 6; the second chained to the first (CBC)
 //! bytes 33..49 SipHash-2-4-128 over bytes 0..33
 //! ```
 
@@ -27,50 +28,52 @@
 const TAG_START: usize = 1 + 2 * BLOCK_BYTES;
 const SEALED_BYTES: usize = TAG_START + 16;
 
-/// Characters of a ticket as callers carry it (hexadecimal).
+/// Length of a ticket as header text (hexadecimal).
 pub const TICKET_TEXT_BYTES: usize = 2 * SEALED_BYTES;
 
-/// What a ticket says.
+/// The decrypted content of a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestTicket {
     /// The agent whose ledger alone decides whether the request runs.
     pub home: AgentAddress,
-    /// The start of that agent which handed the ticket out.
+    /// The incarnation of that agent that issued the ticket.
     pub incarnation: Incarnation,
-    /// The service it is for.
+    /// The service that the request is for.
     pub service: ServiceId,
-    /// Distinguishes the tickets of one incarnation. Invariant: below 2^48.
+    /// Unique among the tickets of one incarnation. Invariant: below 2^48.
     pub serial: u64,
-    /// When it was handed out, in whole seconds since the Unix epoch by the home's clock. Only
-    /// the home compares it, with the same clock. Invariant: below 2^48.
+    /// Time of issue in whole seconds since the Unix epoch, by the home's clock. Only the home
+    /// evaluates it, by the same clock. Invariant: below 2^48.
     pub issued_seconds: u64,
 }
 
 /// Why a ticket was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TicketError {
-    /// It is not hexadecimal text of the right length: a caller's own key.
+    /// The text is not hexadecimal or has the wrong length, such as an idempotency key that the
+    /// caller chose itself.
     #[error("not a ticket of this fleet")]
-    NotATicket,
-    /// Its key generation is not valid, or no longer.
+    Malformed,
+    /// The key generation is not valid, or no longer valid.
     #[error("ticket of key generation {generation}, which is not valid")]
     UnknownGeneration {
-        /// The generation it names.
+        /// The generation in the ticket's first byte.
         generation: u8,
     },
-    /// Its tag is wrong.
-    #[error("ticket with a wrong tag")]
-    Forged,
+    /// The tag does not match: the ticket is forged or damaged.
+    #[error("ticket with an invalid tag")]
+    InvalidTag,
 }
 
 impl RequestTicket {
-    /// How long ago the ticket was handed out, by the clock that stamped it.
+    /// Returns the time since the ticket was issued; zero when the clock was set back since.
+    /// `now_seconds` must come from the home's clock.
     #[must_use]
     pub fn age(&self, now_seconds: u64) -> Duration {
         Duration::from_secs(now_seconds.saturating_sub(self.issued_seconds))
     }
 
-    /// Seals the ticket with the current key, as text for a header.
+    /// Encrypts and authenticates the ticket with the current key, as text for a header.
     #[must_use]
     pub fn seal(&self, keys: &FleetKeys) -> String {
         let keys = keys.current();
@@ -79,29 +82,32 @@
         let (first, second) = self.to_blocks();
         let mut first = Array::from(first);
         keys.ticket_cipher.encrypt_block(&mut first);
-        let mut second = Array::from(exclusive_or(&second, &first.into()));
+        let mut second = Array::from(xor_blocks(&second, &first.into()));
         keys.ticket_cipher.encrypt_block(&mut second);
         sealed[1..1 + BLOCK_BYTES].copy_from_slice(&first);
         sealed[1 + BLOCK_BYTES..TAG_START].copy_from_slice(&second);
-        let tag = full_tag(keys, &sealed[..TAG_START]);
+        let tag = compute_tag(keys, &sealed[..TAG_START]);
         sealed[TAG_START..].copy_from_slice(&tag);
         hex::encode(sealed)
     }
 
-    /// Opens a sealed ticket.
+    /// Verifies and decrypts a sealed ticket.
     ///
     /// # Errors
     ///
-    /// A [`TicketError`] when it was not sealed with a valid key.
+    /// Returns a [`TicketError`] when the text was not sealed with a valid key.
     pub fn open(text: &str, keys: &FleetKeys) -> Result<Self, TicketError> {
         let mut sealed = [0; SEALED_BYTES];
-        hex::decode_to_slice(text, &mut sealed).map_err(|_| TicketError::NotATicket)?;
+        hex::decode_to_slice(text, &mut sealed).map_err(|_| TicketError::Malformed)?;
         let generation = sealed[0];
         let keys = keys
             .find(generation)
             .ok_or(TicketError::UnknownGeneration { generation })?;
-        if !constant_time_equal(&full_tag(keys, &sealed[..TAG_START]), &sealed[TAG_START..]) {
-            return Err(TicketError::Forged);
+        if !constant_time_equal(
+            &compute_tag(keys, &sealed[..TAG_START]),
+            &sealed[TAG_START..],
+        ) {
+            return Err(TicketError::InvalidTag);
         }
         let first = block_at(&sealed, 1);
         let second = block_at(&sealed, 1 + BLOCK_BYTES);
@@ -109,7 +115,7 @@
         keys.ticket_cipher.decrypt_block(&mut plain_first);
         let mut plain_second = Array::from(second);
         keys.ticket_cipher.decrypt_block(&mut plain_second);
-        let plain_second = exclusive_or(&plain_second.into(), &first);
+        let plain_second = xor_blocks(&plain_second.into(), &first);
         Ok(Self::from_blocks(&plain_first.into(), &plain_second))
     }
 
@@ -129,7 +135,7 @@
         let number = |bytes: &[u8]| {
             bytes
                 .iter()
-                .fold(0, |sum, &byte| sum << 8 | u64::from(byte))
+                .fold(0, |value, &byte| value << 8 | u64::from(byte))
         };
         let address = Ipv4Addr::new(first[0], first[1], first[2], first[3]);
         let port = u16::from_be_bytes([first[4], first[5]]);
@@ -150,11 +156,11 @@
     block
 }
 
-fn exclusive_or(left: &[u8; BLOCK_BYTES], right: &[u8; BLOCK_BYTES]) -> [u8; BLOCK_BYTES] {
+fn xor_blocks(left: &[u8; BLOCK_BYTES], right: &[u8; BLOCK_BYTES]) -> [u8; BLOCK_BYTES] {
     std::array::from_fn(|index| left[index] ^ right[index])
 }
 
-fn full_tag(keys: &DerivedKeys, bytes: &[u8]) -> [u8; 16] {
+fn compute_tag(keys: &DerivedKeys, bytes: &[u8]) -> [u8; 16] {
     SipHasher24::new_with_key(&keys.ticket_tag)
         .hash(bytes)
         .as_bytes()
--- a/crates/keys/src/token.rs
+++ b/crates/keys/src/token.rs
@@ -1,9 +1,9 @@
 //! The flow token: a QUIC connection ID that names the agent holding the flow.
 //!
-//! Why: balancers disagree about which targets exist while the fleet changes. If any view
-//! decided where an open flow lives, two balancers could send packets of one flow to two
-//! agents and the flow would break. So the agent that holds the flow writes its own address
-//! into every connection ID it issues, and every balancer reads it there.
+//! Balancers disagree about which targets exist while the fleet changes. If a balancer's view
+//! determined the agent of an open flow, two balancers could send packets of one flow to two
+//! agents, which would break the flow. So the agent that holds the flow puts its own address
+//! into every connection ID that it issues, and every balancer reads the address from there.
 //!
 //! ```text
 //! byte 0       generation, in clear
@@ -11,10 +11,10 @@
 //! bytes 17..20 first 3 bytes of SipHash-2-4-128 over bytes 0..17
 //! ```
 //!
-//! The block also hides the address from callers and makes two tokens of one agent look
-//! unrelated. A forger passes the tag once in 2^24 tries and then reaches an address that
-//! decrypts at random; the agent there checks the token against its own address and service,
-//! and a balancer forwards only to addresses its settings allow.
+//! Encryption hides the address from callers and makes tokens of one agent unlinkable. A forged
+//! token passes the tag check once in 2^24 attempts and then decrypts to a random address. A
+//! balancer forwards only to addresses that its settings allow, and the agent at that address
+//! checks the token against its own address and service.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -26,46 +26,46 @@
 use crate::frame::constant_time_equal;
 use crate::ring::{DerivedKeys, FleetKeys};
 
-/// Bytes of a sealed flow token: the longest connection ID of QUIC version 1 (RFC 9000).
+/// Length of a sealed flow token: the maximum connection ID of QUIC version 1 (RFC 9000).
 pub const TOKEN_BYTES: usize = 20;
 
 const BLOCK_BYTES: usize = 16;
 const TAG_START: usize = 1 + BLOCK_BYTES;
 const SERIAL_BYTES: usize = 6;
 
-/// What a flow token says.
+/// The decrypted content of a flow token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowToken {
     /// The agent that holds the flow.
     pub agent: AgentAddress,
     /// The service that the flow was opened for.
     pub service: ServiceId,
-    /// Distinguishes the connection IDs of one agent. Invariant: below 2^48.
+    /// Unique among the connection IDs of one agent. Invariant: below 2^48.
     pub serial: u64,
 }
 
 /// Why a token was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TokenError {
-    /// It is not [`TOKEN_BYTES`] long.
-    #[error("a connection ID of {length} bytes is not a flow token")]
+    /// The connection ID is not [`TOKEN_BYTES`] long.
+    #[error("connection ID of {length} bytes is not a flow token")]
     WrongLength {
-        /// Its length in bytes.
+        /// The connection ID's length in bytes.
         length: usize,
     },
-    /// Its key generation is not valid, or no longer.
+    /// The key generation is not valid, or no longer valid.
     #[error("flow token of key generation {generation}, which is not valid")]
     UnknownGeneration {
-        /// The generation it names.
+        /// The generation in the token's first byte.
         generation: u8,
     },
-    /// Its tag is wrong: forged, or damaged on the way.
-    #[error("flow token with a wrong tag")]
-    Forged,
+    /// The tag does not match: the token is forged or was damaged in transit.
+    #[error("flow token with an invalid tag")]
+    InvalidTag,
 }
 
 impl FlowToken {
-    /// Seals the token with the current key.
+    /// Encrypts and authenticates the token with the current key.
     #[must_use]
     pub fn seal(&self, keys: &FleetKeys) -> [u8; TOKEN_BYTES] {
         let keys = keys.current();
@@ -74,16 +74,16 @@
         let mut sealed = [0; TOKEN_BYTES];
         sealed[0] = keys.generation.0;
         sealed[1..TAG_START].copy_from_slice(&block);
-        let tag = short_tag(keys, &sealed[..TAG_START]);
+        let tag = truncated_tag(keys, &sealed[..TAG_START]);
         sealed[TAG_START..].copy_from_slice(&tag);
         sealed
     }
 
-    /// Opens a sealed token.
+    /// Verifies and decrypts a sealed token.
     ///
     /// # Errors
     ///
-    /// A [`TokenError`] when it was not sealed with a valid key.
+    /// Returns a [`TokenError`] when `sealed` was not sealed with a valid key.
     pub fn open(sealed: &[u8], keys: &FleetKeys) -> Result<Self, TokenError> {
         let wrong_length = TokenError::WrongLength {
             length: sealed.len(),
@@ -93,8 +93,11 @@
         let keys = keys
             .find(generation)
             .ok_or(TokenError::UnknownGeneration { generation })?;
-        if !constant_time_equal(&short_tag(keys, &sealed[..TAG_START]), &sealed[TAG_START..]) {
-            return Err(TokenError::Forged);
+        if !constant_time_equal(
+            &truncated_tag(keys, &sealed[..TAG_START]),
+            &sealed[TAG_START..],
+        ) {
+            return Err(TokenError::InvalidTag);
         }
         let mut block = [0; BLOCK_BYTES];
         block.copy_from_slice(&sealed[1..TAG_START]);
@@ -118,7 +121,7 @@
         let service = u32::from_be_bytes([block[6], block[7], block[8], block[9]]);
         let serial = block[10..]
             .iter()
-            .fold(0, |sum, &byte| sum << 8 | u64::from(byte));
+            .fold(0, |value, &byte| value << 8 | u64::from(byte));
         Self {
             agent: AgentAddress(SocketAddrV4::new(address, port)),
             service: ServiceId(service),
@@ -127,7 +130,7 @@
     }
 }
 
-fn short_tag(keys: &DerivedKeys, bytes: &[u8]) -> [u8; TOKEN_BYTES - TAG_START] {
+fn truncated_tag(keys: &DerivedKeys, bytes: &[u8]) -> [u8; TOKEN_BYTES - TAG_START] {
     let tag = SipHasher24::new_with_key(&keys.token_tag)
         .hash(bytes)
         .as_bytes();
--- a/crates/keys/tests/all/file.rs
+++ b/crates/keys/tests/all/file.rs
@@ -1,4 +1,4 @@
-//! The key file.
+//! Parsing, validation and permissions of the key file.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -10,7 +10,7 @@
 const FIRST: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 const SECOND: &str = "ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
-/// What a case expects: the generations in order, or a check of the error.
+/// The generations in order, or a predicate on the error.
 type Expected = Result<&'static [u8], fn(&KeyFileError) -> bool>;
 
 struct FileCase {
@@ -57,31 +57,31 @@
             Err(|error| {
                 matches!(
                     error,
-                    KeyFileError::BadKey {
+                    KeyFileError::InvalidKey {
                         generation: KeyGeneration(1)
                     }
                 )
             }),
         ),
         case(
-            "no hexadecimal digits",
+            "not hexadecimal",
             format!("[keys]\ncurrent = 1\n1 = {}\n", "g".repeat(64)),
-            Err(|error| matches!(error, KeyFileError::BadKey { .. })),
+            Err(|error| matches!(error, KeyFileError::InvalidKey { .. })),
         ),
         case(
-            "no generation",
+            "generation is not a number",
             format!("[keys]\ncurrent = 1\nfirst = {FIRST}\n"),
-            Err(|error| matches!(error, KeyFileError::BadGeneration { .. })),
+            Err(|error| matches!(error, KeyFileError::InvalidGeneration { .. })),
         ),
         case(
             "generation out of range",
             format!("[keys]\ncurrent = 256\n256 = {FIRST}\n"),
-            Err(|error| matches!(error, KeyFileError::BadGeneration { .. })),
+            Err(|error| matches!(error, KeyFileError::InvalidGeneration { .. })),
         ),
         case(
             "the same key twice",
             format!("[keys]\ncurrent = 1\n1 = {FIRST}\n2 = {FIRST}\n"),
-            Err(|error| matches!(error, KeyFileError::Ring(RingError::SameKey(..)))),
+            Err(|error| matches!(error, KeyFileError::Ring(RingError::DuplicateKey(..)))),
         ),
         case(
             "three keys",
@@ -94,7 +94,7 @@
         case(
             "not INI",
             "[keys\ncurrent".to_owned(),
-            Err(|error| matches!(error, KeyFileError::NotIni { .. })),
+            Err(|error| matches!(error, KeyFileError::InvalidSyntax { .. })),
         ),
     ]
 }
@@ -108,13 +108,13 @@
                 let generations: Vec<u8> = keys.generations().map(|g| g.0).collect();
                 assert_eq!(generations, expected, "{}", case.name);
             }
-            (Err(error), Err(fits)) => assert!(fits(&error), "{}: {error}", case.name),
+            (Err(error), Err(accepts)) => assert!(accepts(&error), "{}: {error}", case.name),
             (parsed, _) => panic!("{}: {parsed:?}", case.name),
         }
     }
 }
 
-fn file(name: &str, text: &[u8], mode: u32) -> PathBuf {
+fn temporary_file(name: &str, text: &[u8], mode: u32) -> PathBuf {
     let name = format!("lovagelatch-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(name);
     fs::write(&path, text).expect("a temporary file");
@@ -125,10 +125,10 @@
 #[test]
 fn a_file_must_be_readable_by_its_owner_alone() {
     let text = format!("[keys]\ncurrent = 1\n1 = {FIRST}\n");
-    let good = file("good", text.as_bytes(), 0o600);
-    let open = file("open", text.as_bytes(), 0o640);
-    let large = file("large", &vec![b'#'; 64 * 1024], 0o600);
-    let binary = file("binary", &[0xff, 0xfe, 0, 1], 0o600);
+    let good = temporary_file("good", text.as_bytes(), 0o600);
+    let open = temporary_file("open", text.as_bytes(), 0o640);
+    let large = temporary_file("large", &vec![b'#'; 64 * 1024], 0o600);
+    let binary = temporary_file("binary", &[0xff, 0xfe, 0, 1], 0o600);
     let (read, refused) = (read_key_file(&good), read_key_file(&open));
     let (oversized, unreadable) = (read_key_file(&large), read_key_file(&binary));
     for path in [&good, &open, &large, &binary] {
@@ -137,7 +137,7 @@
     assert!(read.is_ok());
     assert!(matches!(
         refused,
-        Err(KeyFileError::OpenToOthers { mode: 0o640, .. })
+        Err(KeyFileError::InsecureMode { mode: 0o640, .. })
     ));
     assert!(matches!(oversized, Err(KeyFileError::TooLarge { .. })));
     assert!(matches!(unreadable, Err(KeyFileError::Unreadable { .. })));
--- a/crates/keys/tests/all/frame.rs
+++ b/crates/keys/tests/all/frame.rs
@@ -1,4 +1,4 @@
-//! Tags of frames.
+//! Authentication tags of frames.
 
 use lovagelatch_keys::KeyGeneration;
 use quickcheck::quickcheck;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_tag_does_not_pass_for_another_generations() {
+fn a_tag_is_valid_only_for_its_own_generation() {
     let keys = ring(&[1, 2]);
     let (_, tag) = keys.tag_frame(&[b"message"]);
     assert!(keys.verify_frame(KeyGeneration(1), &[b"message"], &tag));
@@ -24,7 +24,7 @@
 }
 
 quickcheck! {
-    fn how_a_frame_is_parted_does_not_matter(message: Vec<u8>, at: usize) -> bool {
+    fn a_tag_does_not_depend_on_how_a_frame_is_split(message: Vec<u8>, at: usize) -> bool {
         let keys = ring(&[1]);
         let at = at % (message.len() + 1);
         let (first, second) = message.split_at(at);
--- a/crates/keys/tests/all/main.rs
+++ b/crates/keys/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of keys and of what is sealed with them.
+//! Tests of the fleet's keys and of the tokens, tickets and frames that use them.
 
 mod file;
 mod frame;
--- a/crates/keys/tests/all/ring.rs
+++ b/crates/keys/tests/all/ring.rs
@@ -1,4 +1,4 @@
-//! Which generation is the oldest.
+//! The order of key generations, and the keys taken from the oldest one.
 
 use lovagelatch_keys::KeyGeneration;
 
@@ -10,11 +10,11 @@
     oldest: u8,
 }
 
-/// Symptom: after the 256th rotation, resets of flows that were opened before it are ignored.
-/// Sequence: generation 0 follows on 255; the reset key is taken from the oldest. Cause: the
-/// lowest number taken for the oldest generation.
+/// Guards against ignored stateless resets after the 256th rotation. The reset key comes from the
+/// oldest generation, and generation 0 follows 255; taking the lowest number for the oldest would
+/// select the new key for flows that were opened under the old one.
 #[test]
-fn the_oldest_generation_is_the_one_that_the_other_followed_on() {
+fn the_oldest_generation_is_found_across_wraparound() {
     let case = |name, generations, oldest| AgeCase {
         name,
         generations,
@@ -27,20 +27,28 @@
         case("announced, numbers wrapped", &[255, 0], 255),
         case("switched, numbers wrapped", &[0, 255], 255),
         case("wrapped, with a gap", &[3, 250], 250),
-        case("the widest gap that tells", &[0, 127], 0),
-        case("half the numbers apart: neither follows", &[128, 0], 0),
-        case("the same, the other current", &[0, 128], 0),
+        case("the largest gap with a defined order", &[0, 127], 0),
+        case(
+            "half the number space apart: the lower is older",
+            &[128, 0],
+            0,
+        ),
+        case(
+            "half the number space apart, the lower is current",
+            &[0, 128],
+            0,
+        ),
     ];
     for case in cases {
         let keys = ring(case.generations);
-        let oldest = keys.reset_key_of(KeyGeneration(case.oldest));
+        let oldest = keys.reset_key_for(KeyGeneration(case.oldest));
         assert_eq!(Some(keys.reset_key()), oldest, "{}", case.name);
     }
 }
 
-/// Symptom: processes place new flows differently, or an agent hands a flow on to an agent that
-/// no balancer would choose next. Sequence: the operator rotates the key; processes read the
-/// file at different moments. Cause: a seed that depends on which generation is current.
+/// Guards against processes that place new flows differently during a rotation, and an agent that
+/// hands a flow on to an agent that no balancer would choose next. Processes read the rotated key
+/// file at different moments, so the seed must not depend on which generation is current.
 #[test]
 fn the_placement_seed_changes_only_when_the_oldest_key_is_dropped() {
     let steps: [(&[u8], u8); 4] = [(&[1], 1), (&[1, 2], 1), (&[2, 1], 1), (&[2], 2)];
--- a/crates/keys/tests/all/ticket.rs
+++ b/crates/keys/tests/all/ticket.rs
@@ -1,4 +1,4 @@
-//! Request tickets.
+//! Sealing, opening and ages of request tickets.
 
 use std::time::Duration;
 
@@ -41,35 +41,35 @@
         expected,
     };
     let cases = [
-        case("empty", String::new(), TicketError::NotATicket),
+        case("empty", String::new(), TicketError::Malformed),
         case(
-            "a caller's own key",
+            "idempotency key chosen by a caller",
             "order-7781".to_owned(),
-            TicketError::NotATicket,
+            TicketError::Malformed,
         ),
         case(
             "truncated",
             text[..TICKET_TEXT_BYTES - 2].to_owned(),
-            TicketError::NotATicket,
+            TicketError::Malformed,
         ),
-        case("too long", format!("{text}00"), TicketError::NotATicket),
+        case("too long", format!("{text}00"), TicketError::Malformed),
         case(
-            "no hexadecimal digits",
+            "not hexadecimal",
             "z".repeat(TICKET_TEXT_BYTES),
-            TicketError::NotATicket,
+            TicketError::Malformed,
         ),
-        case("not ASCII", "é".repeat(49), TicketError::NotATicket),
+        case("not ASCII", "é".repeat(49), TicketError::Malformed),
         case(
             "unknown generation",
             changed(0),
             TicketError::UnknownGeneration { generation: 0x11 },
         ),
-        case("changed home", changed(4), TicketError::Forged),
-        case("changed serial", changed(50), TicketError::Forged),
+        case("changed home", changed(4), TicketError::InvalidTag),
+        case("changed serial", changed(50), TicketError::InvalidTag),
         case(
             "changed tag",
             changed(TICKET_TEXT_BYTES - 1),
-            TicketError::Forged,
+            TicketError::InvalidTag,
         ),
     ];
     for case in cases {
@@ -94,7 +94,7 @@
 }
 
 quickcheck! {
-    fn what_is_sealed_opens(ip: u32, incarnation: u64, service: u32, serial: u64, issued: u64)
+    fn a_sealed_ticket_opens(ip: u32, incarnation: u64, service: u32, serial: u64, issued: u64)
         -> bool
     {
         let keys = ring(&[2, 1]);
--- a/crates/keys/tests/all/token.rs
+++ b/crates/keys/tests/all/token.rs
@@ -1,4 +1,4 @@
-//! Flow tokens.
+//! Sealing and opening of flow tokens.
 
 use lovagelatch_domain::ServiceId;
 use lovagelatch_keys::{FlowToken, TOKEN_BYTES, TokenError};
@@ -49,8 +49,12 @@
             changed(0),
             TokenError::UnknownGeneration { generation: 0x11 },
         ),
-        case("changed address", changed(2), TokenError::Forged),
-        case("changed tag", changed(TOKEN_BYTES - 1), TokenError::Forged),
+        case("changed address", changed(2), TokenError::InvalidTag),
+        case(
+            "changed tag",
+            changed(TOKEN_BYTES - 1),
+            TokenError::InvalidTag,
+        ),
     ];
     for case in cases {
         let opened = FlowToken::open(&case.sealed, &keys);
@@ -58,8 +62,8 @@
     }
 }
 
-/// Symptom: feeds break when the fleet key is rotated. Sequence: a flow opens under one key, and
-/// processes switch at different times. Cause: a process that accepts its current key alone.
+/// Guards against flows that break when the fleet key is rotated. A flow opens under one key and
+/// processes switch at different times, so each process must accept both generations.
 #[test]
 fn two_generations_open_tokens() {
     for case in rotation_cases() {
@@ -78,11 +82,11 @@
     };
     let sealed = sample().seal(&keys(1));
     let opened = FlowToken::open(&sealed, &keys(2));
-    assert_eq!(opened, Err(TokenError::Forged));
+    assert_eq!(opened, Err(TokenError::InvalidTag));
 }
 
 quickcheck! {
-    fn what_is_sealed_opens(ip: u32, port: u16, service: u32, serial: u64) -> bool {
+    fn a_sealed_token_opens(ip: u32, port: u16, service: u32, serial: u64) -> bool {
         let keys = ring(&[2, 1]);
         let token = token(ip, port, service, serial);
         FlowToken::open(&token.seal(&keys), &keys) == Ok(token)
--- a/crates/routing/tests/all/packet.rs
+++ b/crates/routing/tests/all/packet.rs
@@ -78,7 +78,7 @@
         case(
             "short header, forged token",
             short_header(&forged),
-            Err(PacketFault::Token(TokenError::Forged)),
+            Err(PacketFault::Token(TokenError::InvalidTag)),
         ),
         case(
             "short header, expired generation",
--- a/tests/matrix/src/flows/agent.rs
+++ b/tests/matrix/src/flows/agent.rs
@@ -240,7 +240,7 @@
 }
 
 fn reset_key(keys: &FleetKeys, generation: u8) -> [u8; 8] {
-    let key = keys.reset_key_of(KeyGeneration(generation));
+    let key = keys.reset_key_for(KeyGeneration(generation));
     let mut start = [0; 8];
     if let Some(key) = key {
         start.copy_from_slice(&key[..8]);
