--- a/bins/agent/src/opaque/process.rs
+++ b/bins/agent/src/opaque/process.rs
@@ -74,7 +74,7 @@
     }
     info!(log, "agent stops");
     state.agent.lock().set_leaving();
-    tokio::time::sleep(STOP_SPAN.min(common.stop_limit / 2)).await;
+    tokio::time::sleep(STOP_SPAN.min(common.stop_timeout / 2)).await;
     state.ended.store(true, Ordering::Relaxed);
     info!(log, "agent stopped"; "packets" => state.carried.load(Ordering::Relaxed));
     Ok(())
@@ -88,7 +88,7 @@
                 info!(log, "settings read again"; "service" => settings.service.to_string());
                 // It says only how the process was started.
                 let same = OpaqueAgentSettings {
-                    common: started.common.clone().with_limits_of(&settings.common),
+                    common: started.common.clone().with_limits_from(&settings.common),
                     first_start: settings.first_start,
                     ..started.clone()
                 };
--- a/bins/balancer/src/opaque/process.rs
+++ b/bins/balancer/src/opaque/process.rs
@@ -57,7 +57,8 @@
     let measured = PacketMetrics::new(&metrics.meter());
     let common = &settings.common;
     let packets = Arc::new(PacketState {
-        balancer: FlowBalancer::new(AgentAddress(common.frames)).with_link(settings.link_bytes),
+        balancer: FlowBalancer::new(AgentAddress(common.frames))
+            .with_link(settings.link_bytes_per_second),
         view: ArcSwap::from_pointee(FlowView::default()),
         received: AtomicU64::new(0),
         leaving: AtomicBool::new(false),
@@ -78,13 +79,13 @@
         () = stop.wait() => {}
         () = follow_settings(&mut watch, &settings, &tasks, &log) => {}
     }
-    info!(log, "balancer stops"; "limit_ms" => millis(common.stop_limit));
+    info!(log, "balancer stops"; "limit_ms" => millis(common.stop_timeout));
     packets.leaving.store(true, Ordering::Relaxed);
     ready.set(false);
     tasks.set_leaving();
     wait_for_quiet(
         &packets,
-        common.stop_limit.saturating_sub(STOP_MARGIN),
+        common.stop_timeout.saturating_sub(STOP_MARGIN),
         &mut stop,
     )
     .await;
@@ -107,9 +108,9 @@
                 tasks.state.member.lock().set_seeds(&settings.seeds);
                 info!(log, "settings read again"; "seeds" => settings.seeds.len());
                 let same = OpaqueBalancerSettings {
-                    common: started.common.clone().with_limits_of(&settings.common),
+                    common: started.common.clone().with_limits_from(&settings.common),
                     seeds: settings.seeds.clone(),
-                    link_bytes: settings.link_bytes,
+                    link_bytes_per_second: settings.link_bytes_per_second,
                     ..started.clone()
                 };
                 if settings != same {
--- a/crates/operations/tests/all/carrier.rs
+++ b/crates/operations/tests/all/carrier.rs
@@ -60,7 +60,7 @@
         ready: at(8_167),
         operations: at(9_464),
         flow_lifetime: Duration::from_secs(60),
-        stop_limit: Duration::from_secs(6),
+        stop_timeout: Duration::from_secs(6),
     };
     let log = Logger::root(lovagelatch_telemetry::discard(), o!());
     let metrics = MetricsRegistry::new().expect("metrics");
--- a/crates/settings/src/block.rs
+++ b/crates/settings/src/block.rs
@@ -1,27 +1,27 @@
-//! Blocks of addresses, for saying who may ask.
+//! IPv4 CIDR blocks, which restrict the clients that an endpoint accepts.
 
 use std::net::Ipv4Addr;
 use std::str::FromStr;
 
-/// A block of IPv4 addresses, written `IP/BITS`.
+/// An IPv4 CIDR block, written `IP/BITS`. Host bits of the address are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressBlock {
     address: Ipv4Addr,
     /// Invariant: at most 32.
-    bits: u32,
+    prefix_length: u32,
 }
 
 impl AddressBlock {
-    /// This machine's own addresses.
+    /// The loopback addresses, 127.0.0.0/8.
     pub const LOOPBACK: Self = Self {
         address: Ipv4Addr::LOCALHOST,
-        bits: 8,
+        prefix_length: 8,
     };
 
-    /// Whether `address` is in the block.
+    /// Returns whether `address` is in the block.
     #[must_use]
     pub fn contains(&self, address: Ipv4Addr) -> bool {
-        let mask = u32::MAX.checked_shl(32 - self.bits).unwrap_or(0);
+        let mask = u32::MAX.checked_shl(32 - self.prefix_length).unwrap_or(0);
         (self.address.to_bits() ^ address.to_bits()) & mask == 0
     }
 }
@@ -30,12 +30,15 @@
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
-        let (address, bits) = text.split_once('/').ok_or(())?;
+        let (address, prefix_length) = text.split_once('/').ok_or(())?;
         let address = address.parse().map_err(|_| ())?;
-        let bits = bits.parse().map_err(|_| ())?;
-        if bits > 32 {
+        let prefix_length = prefix_length.parse().map_err(|_| ())?;
+        if prefix_length > 32 {
             return Err(());
         }
-        Ok(Self { address, bits })
+        Ok(Self {
+            address,
+            prefix_length,
+        })
     }
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,90 +1,91 @@
-//! INI text with the line of every field, which the INI library alone does not keep.
+//! INI documents with the line number of every section and field, which the INI library does not
+//! record.
 
 use ini::{Ini, ParseOption};
 
-/// The largest settings file, in bytes.
+/// The maximum length of a settings file.
 pub const MAX_SETTINGS_BYTES: usize = 256 * 1024;
 
-/// One field as written.
+/// A field as written.
 #[derive(Clone, Debug)]
-pub(crate) struct DocumentField {
+pub(crate) struct IniField {
     pub(crate) name: String,
     pub(crate) value: String,
-    /// From 1.
+    /// Line number, from 1.
     pub(crate) line: usize,
 }
 
-/// One section as written.
+/// A section as written.
 #[derive(Clone, Debug)]
-pub(crate) struct DocumentSection {
+pub(crate) struct IniSection {
     pub(crate) name: String,
-    /// From 1.
+    /// Line number, from 1.
     pub(crate) line: usize,
-    pub(crate) fields: Vec<DocumentField>,
+    pub(crate) fields: Vec<IniField>,
 }
 
-/// The sections of a text in order.
+/// The sections of a text, in the order of the text.
 #[derive(Clone, Debug)]
 pub(crate) struct IniDocument {
-    pub(crate) sections: Vec<DocumentSection>,
-    /// Lines that stand before the first section or are no field.
-    pub(crate) stray_lines: Vec<usize>,
+    pub(crate) sections: Vec<IniSection>,
+    /// Line numbers of the fields before the first section.
+    pub(crate) lines_outside_sections: Vec<usize>,
 }
 
-/// Why a text is not INI.
+/// Why a line is not valid INI.
 #[derive(Clone, Debug)]
-pub(crate) struct NotIni {
+pub(crate) struct SyntaxError {
     pub(crate) line: usize,
     pub(crate) reason: String,
 }
 
 impl IniDocument {
-    /// Parses the text: the INI library judges the syntax of each line, and the lines are
-    /// counted here.
-    pub(crate) fn parse(text: &str) -> Result<Self, NotIni> {
+    /// Parses the text line by line: the INI library checks the syntax of each line, and this
+    /// function counts the lines.
+    pub(crate) fn parse(text: &str) -> Result<Self, SyntaxError> {
         let mut document = Self {
             sections: Vec::new(),
-            stray_lines: Vec::new(),
+            lines_outside_sections: Vec::new(),
         };
         for (index, line) in text.lines().enumerate() {
-            document.take_line(line, index + 1)?;
+            document.parse_line(line, index + 1)?;
         }
         Ok(document)
     }
 
-    fn take_line(&mut self, line: &str, number: usize) -> Result<(), NotIni> {
+    fn parse_line(&mut self, line: &str, number: usize) -> Result<(), SyntaxError> {
         let options = ParseOption {
             enabled_quote: false,
             enabled_escape: false,
             ..ParseOption::default()
         };
-        let parsed = Ini::load_from_str_opt(line, options).map_err(|error| NotIni {
+        let parsed = Ini::load_from_str_opt(line, options).map_err(|error| SyntaxError {
             line: number,
             reason: error.msg.to_string(),
         })?;
         for (section, fields) in &parsed {
             match section {
-                Some(name) => self.sections.push(DocumentSection {
+                Some(name) => self.sections.push(IniSection {
                     name: name.trim().to_owned(),
                     line: number,
                     fields: Vec::new(),
                 }),
-                None => self.take_fields(fields, number),
+                None => self.add_fields(fields, number),
             }
         }
         Ok(())
     }
 
-    fn take_fields(&mut self, fields: &ini::Properties, number: usize) {
+    fn add_fields(&mut self, fields: &ini::Properties, number: usize) {
         for (name, value) in fields {
-            let field = DocumentField {
+            let field = IniField {
                 name: name.trim().to_owned(),
                 value: value.trim().to_owned(),
                 line: number,
             };
             match self.sections.last_mut() {
                 Some(section) => section.fields.push(field),
-                None => self.stray_lines.push(number),
+                None => self.lines_outside_sections.push(number),
             }
         }
     }
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a text, in words that say what to write instead.
+//! Faults of service texts and settings files. Each message names the remedy.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -8,114 +8,121 @@
 
 use crate::text::MAX_TEXT_BYTES;
 
-/// One fault of a service text.
+/// A fault of a service text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("line {line}: {kind}")]
 pub struct TextFault {
-    /// Where, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// What.
+    /// What is wrong; the message includes the remedy.
     pub kind: TextFaultKind,
 }
 
-/// What is wrong with a service text.
+/// The kinds of faults in a service text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TextFaultKind {
-    /// The text is larger than the platform can hold.
-    #[error("the text has {length} bytes; it may have {MAX_TEXT_BYTES} at most")]
+    /// The text is longer than one value of the platform's configuration service.
+    #[error("the text has {length} bytes; the maximum is {MAX_TEXT_BYTES}")]
     TooLarge {
-        /// Its length in bytes.
+        /// The text's length in bytes.
         length: usize,
     },
-    /// The line is not INI.
-    #[error("not readable ({reason}); write '[service NAME]' or 'field = value'")]
-    NotIni {
-        /// What the INI parser said.
+    /// The line is not valid INI.
+    #[error("invalid syntax ({reason}); write '[service NAME]' or 'field = value'")]
+    InvalidSyntax {
+        /// The INI parser's message.
         reason: String,
     },
-    /// A field stands before the first section.
-    #[error("this field stands outside a section; put '[service NAME]' before it")]
+    /// The field is before the first section.
+    #[error("field outside a section; put '[service NAME]' before it")]
     OutsideSection,
-    /// A section is not a service.
+    /// The section heading is not `[service NAME]`.
     #[error("unknown section [{section}]; write '[service NAME]'")]
     UnknownSection {
-        /// Its heading.
+        /// The heading as written.
         section: String,
     },
-    /// A field is not known.
+    /// A service has no field of this name.
     #[error("unknown field '{field}'; a service has 'address', 'depends' and 'once'")]
     UnknownField {
-        /// Its name.
+        /// The field name as written.
         field: String,
     },
-    /// A name is not acceptable.
-    #[error("bad name {name:?}: {error}")]
-    BadName {
-        /// The name.
+    /// The name of a service or agency is not valid.
+    #[error("invalid name {name:?}: {error}")]
+    InvalidName {
+        /// The name as written.
         name: String,
-        /// Why.
+        /// The rule that the name breaks.
         error: NameError,
     },
-    /// An address is not an IPv4 address with a port.
-    #[error("bad address {address:?}; write 'IP:PORT', then the agency if it belongs to one")]
-    BadAddress {
-        /// What stands there.
+    /// The value is not an IPv4 address with a port, optionally followed by one agency.
+    #[error(
+        "invalid address {address:?}; write 'IP:PORT', followed by the agency if it belongs to one"
+    )]
+    InvalidAddress {
+        /// The value as written.
         address: String,
     },
-    /// A once-only route is not a method and a path.
-    #[error("bad once-only route {route:?}; write 'METHOD /path', such as 'POST /claims'")]
-    BadRoute {
-        /// What stands there.
+    /// The once-only route is not a method and an absolute path.
+    #[error("invalid once-only route {route:?}; write 'METHOD /path', such as 'POST /claims'")]
+    InvalidRoute {
+        /// The value as written.
         route: String,
     },
-    /// A service stands twice.
-    #[error("service {service} is already given on line {first}; join the two sections")]
+    /// Two sections define the same service.
+    #[error("service {service} is already defined on line {first}; merge the two sections")]
     DuplicateService {
         /// The service.
         service: ServiceName,
         /// The line of the first section.
         first: usize,
     },
-    /// Two services share an address.
-    #[error("address {address} is already given on line {first}; an address leads to one service")]
-    SharedAddress {
+    /// The address is listed before, by the same or another service.
+    #[error(
+        "address {address} is already listed on line {first}; an address may be listed only once"
+    )]
+    DuplicateAddress {
         /// The address.
         address: SocketAddrV4,
-        /// The line where it stands first.
+        /// The line of its first occurrence.
         first: usize,
     },
-    /// A service depends on one that is not in the text.
-    #[error("{service} depends on {dependency}, which is not in this text; add it or take it out")]
+    /// The service depends on a service that is not in the text.
+    #[error(
+        "{service} depends on {dependency}, which is not in this text; \
+         add the service or remove the dependency"
+    )]
     UnknownDependency {
         /// The service.
         service: ServiceName,
-        /// What it depends on.
+        /// The missing service.
         dependency: ServiceName,
     },
-    /// A service names a dependency twice.
-    #[error("{dependency} is named twice; name it once")]
+    /// The service lists a dependency twice.
+    #[error("{dependency} is listed twice; list it once")]
     DuplicateDependency {
         /// The dependency.
         dependency: ServiceName,
     },
-    /// Services depend on each other in a circle.
-    #[error("dependencies form a circle: {}; take out one of them", path_text(.path))]
+    /// The services' dependencies form a cycle.
+    #[error("dependencies form a cycle: {}; remove one of them", path_text(.path))]
     DependencyCycle {
-        /// The services along it; the first stands at the end again.
+        /// The services along the cycle; the first is repeated at the end.
         path: Vec<ServiceName>,
     },
-    /// A service has no address.
+    /// The service has no `address` field.
     #[error("service {service} has no address; add 'address = IP:PORT'")]
     NoAddress {
         /// The service.
         service: ServiceName,
     },
-    /// Two services' names share a number.
-    #[error("services {service} and {other} share an internal number; rename one of them")]
-    SameNumber {
-        /// The later service.
+    /// The names of two services hash to the same service ID.
+    #[error("services {service} and {other} have the same internal ID; rename one of them")]
+    IdCollision {
+        /// The service that occurs later in the text.
         service: ServiceName,
-        /// The earlier one.
+        /// The service that occurs earlier in the text.
         other: ServiceName,
     },
 }
@@ -125,21 +132,21 @@
     names.join(" -> ")
 }
 
-/// One fault of a process's settings.
+/// A fault of a process's settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("line {line}: [{section}] {field}: {reason}")]
 pub struct SettingFault {
-    /// Where, from 1; 0 when the field is missing.
+    /// The line number, from 1; 0 for a missing field or an unreadable file.
     pub line: usize,
-    /// The section.
+    /// The section's name; `file` for a fault of the file as a whole.
     pub section: String,
-    /// The field.
+    /// The field's name; empty for a fault of the whole section.
     pub field: String,
-    /// What is wrong and what to write.
+    /// What is wrong and, where it helps, what to write instead.
     pub reason: String,
 }
 
-/// Every fault of one text or file. Invariant: holds at least one.
+/// All faults of a text or file. Invariant: not empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultList<F>(pub Vec<F>);
 
--- a/crates/settings/src/file.rs
+++ b/crates/settings/src/file.rs
@@ -1,15 +1,15 @@
-//! The settings file of a process, as it was read at one moment.
+//! A snapshot of a process's settings file.
 //!
-//! What goes wrong where a process parses one reading of its file and compares later ones with another: a
-//! change between the two is never told. One notices by a process that goes on with seeds that are gone
-//! although it was sent SIGHUP. So one reading serves both.
+//! The process parses its settings from the same snapshot that it later compares the file with. If
+//! these were two separate reads, a change between them would never be detected, and the process
+//! would keep outdated settings, such as seeds that no longer exist, even after SIGHUP.
 
 use std::path::{Path, PathBuf};
 
 use crate::fault::{FaultList, SettingFault};
 use crate::reader::file_fault;
 
-/// One reading of a settings file.
+/// The content of a settings file at the time of reading.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// One fault, with what the operating system said.
+    /// Returns one fault with the operating system's error.
     pub fn read(path: &Path) -> Result<Self, FaultList<SettingFault>> {
         let bytes = std::fs::read(path).map_err(|error| {
             let reason = format!("{}: {error}", path.display());
@@ -29,24 +29,24 @@
         })?;
         Ok(Self {
             path: path.to_owned(),
-            // What is no UTF-8 is no setting; the parser names the line.
+            // Invalid UTF-8 is replaced, so that the parser can report its line as a fault.
             text: String::from_utf8_lossy(&bytes).into_owned(),
         })
     }
 
-    /// Reads the file again; `None` while its text is the same, or it cannot be read: one that is being
-    /// replaced may be missing for a moment.
+    /// Reads the file again and returns it if its text has changed. Also returns `None` when the
+    /// file cannot be read, because a file that is being replaced may be missing for a moment.
     #[must_use]
     pub fn read_changed(&self) -> Option<Self> {
         let file = Self::read(&self.path).ok()?;
         (file != *self).then_some(file)
     }
 
-    /// Reads the settings out of it with one of the `parse` functions.
+    /// Parses the text with one of the settings types' `parse` functions.
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// Returns all faults of the file.
     pub fn parse<S>(
         &self,
         parse: impl FnOnce(&str) -> Result<S, FaultList<SettingFault>>,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! What people write: the operators' service text and the settings of each process.
+//! Parsers for the operators' service text and the settings file of each process.
 //!
-//! Both are INI. Every fault of a text is reported at once, each with its line and with what to
-//! write instead, because an operator who mends a text from a phone should not have to send it
-//! five times to hear of five faults.
+//! Both are INI. A parser reports all faults of a text at once, each with its line and remedy, so
+//! that an operator who edits a text on a phone does not have to submit it once per fault.
 
 mod block;
 mod document;
--- a/crates/settings/src/opaque.rs
+++ b/crates/settings/src/opaque.rs
@@ -1,5 +1,5 @@
-//! Settings of processes that carry opaque packets: flows whose ends are the callers' and the
-//! backend servers' own.
+//! Settings of processes that carry opaque packets: flows that callers and backend servers
+//! terminate, not agents.
 //!
 //! ```ini
 //! [process]
@@ -36,13 +36,13 @@
 use crate::process::SeedList;
 use crate::reader::{FieldName, FieldReader};
 
-/// What kind of packets a process carries.
+/// The kind of traffic that a process carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// QUIC, ended by the agents; every packet carries a token of the agent's.
+    /// QUIC, which agents terminate; connection IDs that an agent issues are flow tokens.
     #[default]
     Quic,
-    /// Packets that are opaque to the system.
+    /// Packets whose payload the load balancer does not interpret.
     Opaque,
 }
 
@@ -59,84 +59,85 @@
 }
 
 impl TrafficKind {
-    /// The kind that a settings file asks for; faults of the file show when it is parsed whole.
+    /// Returns the traffic kind that a settings file sets, or the default when the file or the
+    /// field is invalid; the full parse of the file reports such faults.
     #[must_use]
-    pub fn of_settings(text: &str) -> Self {
+    pub fn from_settings(text: &str) -> Self {
         let Ok(mut reader) = FieldReader::new(text) else {
             return Self::default();
         };
-        reader.traffic().unwrap_or_default()
+        reader.traffic_kind().unwrap_or_default()
     }
 }
 
-/// The settings of a program that carries either kind of traffic.
+/// The settings of a program that supports both kinds of traffic.
 #[derive(Clone, Debug)]
 pub enum TrafficSettings<Q, O> {
-    /// Of a process that carries QUIC.
+    /// Settings of a process that carries QUIC.
     Quic(Q),
-    /// Of a process that carries opaque packets.
+    /// Settings of a process that carries opaque packets.
     Opaque(O),
 }
 
 impl<Q, O> TrafficSettings<Q, O> {
-    /// Parses a settings file by the traffic that it names.
+    /// Parses a settings file with the parser for the traffic kind that it sets.
     ///
     /// # Errors
     ///
-    /// Those of the parser that the traffic calls for.
+    /// Returns the faults that this parser finds.
     pub fn parse(
         text: &str,
         quic: impl FnOnce(&str) -> Result<Q, FaultList<SettingFault>>,
         opaque: impl FnOnce(&str) -> Result<O, FaultList<SettingFault>>,
     ) -> Result<Self, FaultList<SettingFault>> {
-        match TrafficKind::of_settings(text) {
+        match TrafficKind::from_settings(text) {
             TrafficKind::Quic => quic(text).map(Self::Quic),
             TrafficKind::Opaque => opaque(text).map(Self::Opaque),
         }
     }
 }
 
-/// A span written as seconds, with a fraction where needed.
+/// A duration above 0, written as decimal seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct SecondSpan(Duration);
+struct PositiveSeconds(Duration);
 
-impl FromStr for SecondSpan {
+impl FromStr for PositiveSeconds {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
         let seconds: f64 = text.parse().map_err(|_| ())?;
-        let span = Duration::try_from_secs_f64(seconds).map_err(|_| ())?;
-        if span.is_zero() {
+        let duration = Duration::try_from_secs_f64(seconds).map_err(|_| ())?;
+        if duration.is_zero() {
             Err(())
         } else {
-            Ok(Self(span))
+            Ok(Self(duration))
         }
     }
 }
 
-/// A link's speed, written as megabits a second.
+/// The bandwidth of a link, written as decimal megabits per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct LinkSpeed {
-    /// Bytes a second.
-    bytes: u64,
+struct LinkBandwidth {
+    bytes_per_second: u64,
 }
 
-impl FromStr for LinkSpeed {
+impl FromStr for LinkBandwidth {
     type Err = ();
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn from_str(text: &str) -> Result<Self, ()> {
         let megabits: f64 = text.parse().map_err(|_| ())?;
         if megabits.is_finite() && megabits > 0.0 {
-            let bytes = (megabits * 125_000.0) as u64;
-            Ok(Self { bytes })
+            let bytes_per_second = (megabits * 125_000.0) as u64;
+            Ok(Self { bytes_per_second })
         } else {
             Err(())
         }
     }
 }
 
-/// Zones with their regions, written as `zone:region`, one after the other.
+/// Zones with their regions, written as a list of `zone:region` that is separated by commas or
+/// whitespace. Invariant: each zone occurs once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ZoneRegionList(Vec<(ZoneName, RegionName)>);
 
@@ -145,10 +146,10 @@
 
     fn from_str(text: &str) -> Result<Self, ()> {
         let separators = |c: char| c == ',' || c.is_whitespace();
-        let words = text.split(separators).filter(|word| !word.is_empty());
+        let entries = text.split(separators).filter(|entry| !entry.is_empty());
         let mut list: Vec<(ZoneName, RegionName)> = Vec::new();
-        for word in words {
-            let (zone, region) = word.split_once(':').ok_or(())?;
+        for entry in entries {
+            let (zone, region) = entry.split_once(':').ok_or(())?;
             let zone: ZoneName = zone.parse().map_err(|_| ())?;
             let region = region.parse().map_err(|_| ())?;
             if list.iter().any(|(known, _)| *known == zone) {
@@ -160,11 +161,11 @@
     }
 }
 
-/// A number that is 0 or more, with a fraction where needed.
+/// A finite decimal number of at least 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Allowance(f32);
+struct NonNegativeNumber(f32);
 
-impl FromStr for Allowance {
+impl FromStr for NonNegativeNumber {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -177,60 +178,62 @@
     }
 }
 
-/// What every process that carries opaque packets is told.
+/// Settings that balancers and agents of opaque traffic have in common.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpaqueSettings {
-    /// Its name in logs.
+    /// The process's name in logs.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of the process's instance.
     pub zone: ZoneName,
-    /// Where it takes frames of other processes; the same port on all instances.
+    /// Listen address for frames of other processes; the port is the same on all instances.
     pub frames: SocketAddrV4,
-    /// Its address for packets. A balancer is handed callers' packets there; everybody sends
-    /// packets for a caller to the caller's address at this port.
+    /// Listen address for callers' packets. Packets to a caller go to the caller's IP address at
+    /// this port.
     pub packets: SocketAddrV4,
-    /// Where it tells whether it is ready.
+    /// Listen address of the readiness endpoint.
     pub ready: SocketAddrV4,
-    /// Where it serves metrics and status.
+    /// Listen address of the metrics and status endpoints.
     pub operations: SocketAddrV4,
-    /// The longest that a flow lives.
+    /// Maximum lifetime of a flow.
     pub flow_lifetime: Duration,
-    /// How long a stop may take before the process is killed.
-    pub stop_limit: Duration,
+    /// How long a planned stop may take before the process is killed.
+    pub stop_timeout: Duration,
 }
 
 impl OpaqueSettings {
-    /// These settings with the limits of `other`, which hold from the next start on.
+    /// Replaces the limits with those of `other`. A running process does not apply changed limits;
+    /// they take effect at its next start.
     #[must_use]
-    pub fn with_limits_of(mut self, other: &Self) -> Self {
+    pub fn with_limits_from(mut self, other: &Self) -> Self {
         self.flow_lifetime = other.flow_lifetime;
-        self.stop_limit = other.stop_limit;
+        self.stop_timeout = other.stop_timeout;
         self
     }
 }
 
-/// What a balancer is told.
+/// Settings of a balancer of opaque traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpaqueBalancerSettings {
-    /// What every process is told.
+    /// Settings that all processes have.
     pub common: OpaqueSettings,
-    /// Where it takes messages of other balancers, UDP and TCP; the same port on all of them.
+    /// Listen address for messages of other balancers, UDP and TCP; the port is the same on all
+    /// balancers.
     pub gossip: SocketAddrV4,
-    /// Addresses of some instances that run a balancer. Only the IP addresses count: the port is
-    /// `gossip`'s.
+    /// Gossip addresses of some balancers. Only the IP addresses come from the settings; the port
+    /// is that of `gossip`.
     pub seeds: SmallVec<[SocketAddrV4; 3]>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddrV4,
-    /// What the instance's link carries, in bytes a second.
-    pub link_bytes: u64,
-    /// The region of each zone.
+    /// Bandwidth of the instance's link.
+    pub link_bytes_per_second: u64,
+    /// The region of each zone. Invariant: each zone occurs once.
     pub zones: Vec<(ZoneName, RegionName)>,
 }
 
-/// An address that may be left out.
-struct AddressOrNone(Option<SocketAddrV4>);
+/// An address, or the word `none`.
+struct OptionalAddress(Option<SocketAddrV4>);
 
-impl FromStr for AddressOrNone {
+impl FromStr for OptionalAddress {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -243,35 +246,36 @@
     }
 }
 
-/// What an agent is told.
+/// Settings of an agent of opaque traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpaqueAgentSettings {
-    /// What every process is told.
+    /// Settings that all processes have.
     pub common: OpaqueSettings,
-    /// The service of its backend server.
+    /// The service of the agent's backend server.
     pub service: ServiceName,
-    /// Where its backend server takes packets.
+    /// Where the backend server receives packets.
     pub backend: SocketAddrV4,
-    /// Where its backend server sends all of its own packets.
+    /// Listen address for the packets that the backend server sends.
     pub outbound: SocketAddrV4,
-    /// Where other processes reach its `frames`, and so its name among them.
+    /// The address at which other processes reach `frames`. It identifies the agent among them.
     pub advertised: SocketAddrV4,
-    /// Whether the whole fleet starts now, so that no flow can be older than this process.
+    /// Whether this is the first start of the whole fleet, so that no flow can be older than this
+    /// process.
     pub first_start: bool,
-    /// How many times what a cold target bears in a second it may be given at most.
+    /// Upper limit of new flows per second to a cold target, as a multiple of what it can take.
     pub cold_overshoot: f32,
-    /// How many new flows more than that it may be given.
+    /// Number of new flows allowed on top of that limit.
     pub cold_slack: f32,
 }
 
 impl FieldReader {
-    pub(crate) fn traffic(&mut self) -> Option<TrafficKind> {
+    pub(crate) fn traffic_kind(&mut self) -> Option<TrafficKind> {
         self.value("process", "traffic", "'quic' or 'opaque'", Some("quic"))
     }
 
-    fn opaque(&mut self) -> Option<OpaqueSettings> {
+    fn opaque_settings(&mut self) -> Option<OpaqueSettings> {
         let address = "an address IP:PORT";
-        let _kind = self.traffic();
+        let _kind = self.traffic_kind();
         let name = self.value("process", "name", "a name", None);
         let zone = self.value("process", "zone", "the name of a zone", None);
         let frames = self.value("network", "frames", address, None);
@@ -279,7 +283,7 @@
         let ready = self.value("network", "ready", address, None);
         let operations = self.value("network", "operations", address, None);
         let flow_lifetime = self.seconds("flow_lifetime_s", "60");
-        let stop_limit = self.seconds("stop_s", "6");
+        let stop_timeout = self.seconds("stop_s", "6");
         Some(OpaqueSettings {
             name: name?,
             zone: zone?,
@@ -288,30 +292,37 @@
             ready: ready?,
             operations: operations?,
             flow_lifetime: flow_lifetime?,
-            stop_limit: stop_limit?,
+            stop_timeout: stop_timeout?,
         })
     }
 
-    fn allowance(&mut self, field: &'static str, default: &str) -> Option<f32> {
-        let value: Allowance = self.value("limits", field, "a number, 0 or more", Some(default))?;
-        Some(value.0)
+    fn non_negative(&mut self, field: &'static str, default: &str) -> Option<f32> {
+        let number: NonNegativeNumber =
+            self.value("limits", field, "a number of at least 0", Some(default))?;
+        Some(number.0)
     }
 
     fn seconds(&mut self, field: &'static str, default: &str) -> Option<Duration> {
-        let span: SecondSpan = self.value("limits", field, "seconds above 0", Some(default))?;
-        Some(span.0)
+        let seconds: PositiveSeconds = self.value(
+            "limits",
+            field,
+            "a number of seconds above 0",
+            Some(default),
+        )?;
+        Some(seconds.0)
     }
 }
 
 impl OpaqueBalancerSettings {
-    /// Every field that a balancer's settings may have, for the settings reference.
+    /// Returns every field that a balancer's settings may have. A test compares them with the
+    /// settings reference.
     #[must_use]
     pub fn fields() -> Vec<FieldName> {
-        FieldReader::fields_of(Self::take)
+        FieldReader::requested_fields(Self::read)
     }
 
-    fn take(reader: &mut FieldReader) -> Option<Self> {
-        let common = reader.opaque();
+    fn read(reader: &mut FieldReader) -> Option<Self> {
+        let common = reader.opaque_settings();
         let gossip = reader.value("balancer", "gossip", "an address IP:PORT", None);
         let seeds: Option<SeedList> = reader.value(
             "balancer",
@@ -320,31 +331,31 @@
             Some(","),
         );
         let store = reader.value("balancer", "store", "an address IP:PORT", None);
-        let link: Option<LinkSpeed> = reader.value(
+        let link: Option<LinkBandwidth> = reader.value(
             "limits",
             "link_mbps",
-            "megabits a second above 0",
+            "a number of megabits per second above 0",
             Some("1000"),
         );
         let zones: Option<ZoneRegionList> = reader.value(
             "balancer",
             "zones",
-            "a list of ZONE:REGION, each zone once",
+            "a list of ZONE:REGION with each zone once",
             Some(","),
         );
         let gossip: SocketAddrV4 = gossip?;
-        let at_gossip = |ip| SocketAddrV4::new(ip, gossip.port());
+        let with_gossip_port = |ip| SocketAddrV4::new(ip, gossip.port());
         let seeds = seeds?
             .0
             .iter()
-            .map(|seed| at_gossip(*seed.0.ip()))
+            .map(|seed| with_gossip_port(*seed.0.ip()))
             .collect();
         Some(Self {
             common: common?,
             gossip,
             seeds,
             store: store?,
-            link_bytes: link?.bytes,
+            link_bytes_per_second: link?.bytes_per_second,
             zones: zones?.0,
         })
     }
@@ -353,35 +364,36 @@
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// Returns all faults of the file.
     pub fn parse(text: &str) -> Result<Self, FaultList<SettingFault>> {
         FieldReader::parse_file(
             text,
             &["process", "network", "limits", "balancer"],
-            Self::take,
+            Self::read,
         )
     }
 }
 
 impl OpaqueAgentSettings {
-    /// Every field that an agent's settings may have, for the settings reference.
+    /// Returns every field that an agent's settings may have. A test compares them with the
+    /// settings reference.
     #[must_use]
     pub fn fields() -> Vec<FieldName> {
-        FieldReader::fields_of(Self::take)
+        FieldReader::requested_fields(Self::read)
     }
 
-    fn take(reader: &mut FieldReader) -> Option<Self> {
-        let common = reader.opaque();
+    fn read(reader: &mut FieldReader) -> Option<Self> {
+        let common = reader.opaque_settings();
         let service = reader.value("agent", "service", "the name of a service", None);
         let backend = reader.value("agent", "backend", "an address IP:PORT", None);
         let outbound = reader.value("agent", "outbound", "an address IP:PORT", None);
         let first_start = reader.value("agent", "first_start", "true or false", Some("false"));
-        let overshoot = reader.allowance("cold_overshoot", "1");
-        let slack = reader.allowance("cold_slack", "0");
-        let advertised: Option<AddressOrNone> = reader.value(
+        let overshoot = reader.non_negative("cold_overshoot", "1");
+        let slack = reader.non_negative("cold_slack", "0");
+        let advertised: Option<OptionalAddress> = reader.value(
             "agent",
             "advertised",
-            "an address IP:PORT or none",
+            "an address IP:PORT or 'none'",
             Some("none"),
         );
         let common = common?;
@@ -401,8 +413,8 @@
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// Returns all faults of the file.
     pub fn parse(text: &str) -> Result<Self, FaultList<SettingFault>> {
-        FieldReader::parse_file(text, &["process", "network", "limits", "agent"], Self::take)
+        FieldReader::parse_file(text, &["process", "network", "limits", "agent"], Self::read)
     }
 }
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -1,7 +1,7 @@
-//! What a new text changes for callers, and what is risky about it.
+//! The changes between two service texts, with their effects on callers and their risks.
 //!
-//! The plan is worked out from the two texts alone, so it is the same on an operator's phone,
-//! in a check before a merge and on any instance.
+//! A plan depends only on the two texts, so it is the same on an operator's phone, in a check
+//! before a merge and on any instance.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,44 +12,44 @@
 
 use crate::text::{OnceRoute, ServiceAddress, ServiceEntry, ServiceText};
 
-/// One change between two texts.
+/// A change between two texts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum PlanChange {
-    /// A service is new.
+    /// The new text adds a service.
     ServiceAdded {
         /// The service.
         service: ServiceName,
     },
-    /// A service is gone.
+    /// The new text no longer has a service.
     ServiceRemoved {
         /// The service.
         service: ServiceName,
     },
-    /// An address is new.
+    /// The new text adds an address.
     AddressAdded {
-        /// The service it leads to.
+        /// The service that the address belongs to.
         service: ServiceName,
         /// The address.
         address: SocketAddrV4,
     },
-    /// An address is gone.
+    /// The new text no longer has an address.
     AddressRemoved {
-        /// The service it led to.
+        /// The service that the address belonged to.
         service: ServiceName,
         /// The address.
         address: SocketAddrV4,
     },
-    /// An address leads to another service.
+    /// An address moves to another service.
     AddressMoved {
         /// The address.
         address: SocketAddrV4,
-        /// The service it led to.
+        /// The service before.
         from: ServiceName,
-        /// The service it leads to.
+        /// The service after.
         to: ServiceName,
     },
-    /// An address belongs to another agency, or to none.
+    /// An address changes its agency, gains one or loses it.
     AgencyChanged {
         /// The address.
         address: SocketAddrV4,
@@ -62,17 +62,17 @@
     DependencyAdded {
         /// The service.
         service: ServiceName,
-        /// What it may call.
+        /// The service that it may call.
         dependency: ServiceName,
     },
     /// A service may no longer call another one.
     DependencyRemoved {
         /// The service.
         service: ServiceName,
-        /// What it could call.
+        /// The service that it could call.
         dependency: ServiceName,
     },
-    /// A route is once-only from now on.
+    /// A route becomes once-only.
     OnceAdded {
         /// The service.
         service: ServiceName,
@@ -88,20 +88,20 @@
     },
 }
 
-/// How much care a change asks for, least first.
+/// The risk of a change for callers, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanRisk {
-    /// Callers notice nothing, or only something new.
+    /// Existing callers are not affected.
     None,
-    /// Some callers are treated differently.
+    /// The treatment of some callers changes.
     Notice,
-    /// Some callers lose something.
+    /// Some callers lose access or a guarantee.
     High,
 }
 
 impl PlanChange {
-    /// How much care it asks for.
+    /// Returns the risk of the change.
     #[must_use]
     pub fn risk(&self) -> PlanRisk {
         match self {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// What happens to callers, for an operator.
+    /// Describes the effect on callers, as text for operators.
     #[must_use]
     pub fn effect(&self) -> &'static str {
         match self {
@@ -127,16 +127,16 @@
             }
             Self::AddressAdded { .. } => "new flows to it are accepted",
             Self::AddressRemoved { .. } => {
-                "new flows to it are refused; open flows stay until they end"
+                "new flows to it are refused; open flows continue until they end"
             }
             Self::AddressMoved { .. } => {
-                "new flows go to the other service; open flows stay with the old one until they end"
+                "new flows go to the new service; open flows stay with the old one until they end"
             }
             Self::AgencyChanged { .. } => "new flows count against the other agency's share",
             Self::DependencyAdded { .. } => "its backend servers may call it",
             Self::DependencyRemoved { .. } => "its backend servers' calls to it are refused",
-            Self::OnceAdded { .. } => "requests without a ticket are answered 428 from now on",
-            Self::OnceRemoved { .. } => "requests on it may run twice when callers retry",
+            Self::OnceAdded { .. } => "requests without a ticket are answered with status 428",
+            Self::OnceRemoved { .. } => "requests to it may run twice when callers retry",
         }
     }
 }
@@ -162,7 +162,10 @@
                         .map_or("no agency", AgencyName::as_str)
                         .to_owned()
                 });
-                write!(formatter, "address {address} passes from {from} to {to}")
+                write!(
+                    formatter,
+                    "change agency of address {address} from {from} to {to}"
+                )
             }
             Self::DependencyAdded {
                 service,
@@ -192,16 +195,16 @@
     }
 }
 
-/// All changes between two texts, in the order in which they take effect for a caller:
-/// what is added first, then what is moved, then what is taken away.
+/// All changes between two texts, in the order in which they take effect for a caller. The order is
+/// that of their risk: additions, then changed treatment, then moves and removals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextPlan {
-    /// The changes.
+    /// The changes; those of equal risk are in the order of the texts.
     pub changes: Vec<PlanChange>,
 }
 
 impl TextPlan {
-    /// Compares two texts.
+    /// Computes the changes that lead from `old` to `new`.
     #[must_use]
     pub fn between(old: &ServiceText, new: &ServiceText) -> Self {
         let (old, new) = (TextIndex::new(old), TextIndex::new(new));
@@ -221,19 +224,19 @@
                     service: entry.name.clone(),
                 });
             }
-            plan.find_removed_addresses(entry, &new);
+            plan.compare_removed_addresses(entry, &new);
         }
         plan.changes.sort_by_key(PlanChange::risk);
         plan
     }
 
-    /// Whether the texts mean the same.
+    /// Returns whether the texts are equivalent; comments and the order of lines do not matter.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// The greatest risk among the changes.
+    /// Returns the highest risk among the changes.
     #[must_use]
     pub fn risk(&self) -> PlanRisk {
         self.changes
@@ -298,7 +301,7 @@
         }
     }
 
-    fn find_removed_addresses(&mut self, entry: &ServiceEntry, new: &TextIndex<'_>) {
+    fn compare_removed_addresses(&mut self, entry: &ServiceEntry, new: &TextIndex<'_>) {
         for old in &entry.addresses {
             if !new.addresses.contains_key(&old.address) {
                 let (service, address) = (entry.name.clone(), old.address);
@@ -309,8 +312,8 @@
     }
 }
 
-/// A text with its services and addresses by key, so that two texts of 28,000 addresses are
-/// compared in one pass.
+/// A text with its services and addresses indexed by key, so that texts of 28,000 addresses are
+/// compared in linear time.
 struct TextIndex<'a> {
     text: &'a ServiceText,
     services: HashMap<&'a ServiceName, &'a ServiceEntry>,
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process.
+//! Settings of processes that carry QUIC, and types that all settings use.
 //!
 //! ```ini
 //! [process]
@@ -6,7 +6,7 @@
 //! zone = lahore-a
 //! control = 127.0.0.1:7101      ; UDP frames and TCP streams of the system's own processes
 //! operations = 127.0.0.1:8101   ; health, status, metrics, phone page
-//! operators = 127.0.0.0/8       ; optional: who may have the phone page check a text
+//! operators = 127.0.0.0/8       ; optional: clients that may check a text on the phone page
 //! threads = 2
 //!
 //! [platform]
@@ -17,17 +17,17 @@
 //! file = fleet.keys
 //!
 //! [network]
-//! gateway = 127.0.0.1:6100      ; optional: UDP and TCP leave through it, behind PROXY v2
-//! seeds = 127.0.0.1:7102        ; optional: peers to ask while the platform is down
+//! gateway = 127.0.0.1:6100      ; optional: outgoing UDP and TCP go through it, with PROXY v2
+//! seeds = 127.0.0.1:7102        ; optional: peers to contact while the platform is down
 //!
 //! [balancer]
 //! ingress = proxy-v2            ; or: direct
-//! listen = 127.0.0.1:7001       ; where the fabric hands packets in
+//! listen = 127.0.0.1:7001       ; where the fabric delivers callers' packets
 //!
 //! [agent]
 //! service = claims
 //! backend = 127.0.0.1:9001
-//! gateway_listen = 127.0.0.1:9101 ; where its backend server calls its dependencies
+//! gateway_listen = 127.0.0.1:9101 ; where the backend server calls its dependencies
 //! certificate = claims.pem
 //! private_key = claims.key
 //! slots = 3
@@ -48,12 +48,12 @@
 use crate::fault::{FaultList, SettingFault};
 use crate::reader::{FieldName, FieldReader};
 
-/// How caller datagrams arrive at a balancer.
+/// How a balancer receives callers' datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IngressKind {
-    /// The service addresses are configured on this instance; datagrams arrive as sent.
+    /// The service addresses are configured on this instance; datagrams arrive unchanged.
     Direct,
-    /// The fabric puts a PROXY protocol version 2 header before each datagram.
+    /// The fabric prepends a PROXY protocol version 2 header to each datagram.
     ProxyV2,
 }
 
@@ -69,37 +69,37 @@
     }
 }
 
-/// What every process is told.
+/// Settings that balancers and agents of QUIC traffic have in common.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommonSettings {
-    /// Its name in logs.
+    /// The process's name in logs.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of the process's instance.
     pub zone: ZoneName,
-    /// Where it listens for the system's other processes.
+    /// Listen address for frames and streams of other balancers and agents.
     pub control: AgentAddress,
-    /// Where it serves health, status, metrics and the phone page.
+    /// Listen address for health, status, metrics and the phone page.
     pub operations: SocketAddrV4,
-    /// Where the phone page may be asked to check a text from; `None` allows loopback only.
+    /// The clients that may check a text on the phone page; `None` allows only loopback.
     pub operators: Option<AddressBlock>,
-    /// Worker threads. Invariant: at least 1.
+    /// Number of worker threads. Invariant: at least 1.
     pub threads: usize,
-    /// The platform's service.
+    /// Address of the platform's service.
     pub platform: SocketAddrV4,
-    /// How often the platform is asked when watching is not possible.
+    /// Polling interval for the platform while a watch is not possible.
     pub platform_poll: Duration,
-    /// The key file.
+    /// Path of the key file with the fleet's secrets.
     pub key_file: PathBuf,
-    /// Where UDP and TCP to other processes and callers leave, behind PROXY v2; `None` sends
-    /// them directly.
+    /// The gateway for UDP and TCP to other processes and callers, with PROXY v2 headers; `None`
+    /// sends directly.
     pub gateway: Option<SocketAddrV4>,
-    /// Peers to ask at the start while the platform gives no instance list.
+    /// Peers to contact at startup while the platform provides no instance list.
     pub seeds: SeedList,
-    /// Limits.
+    /// Timeouts and size limits.
     pub limits: LimitSettings,
 }
 
-/// Addresses of peers, written one after the other.
+/// Addresses of peers, written as a list that is separated by commas or whitespace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SeedList(pub SmallVec<[AgentAddress; 4]>);
 
@@ -108,66 +108,69 @@
 
     fn from_str(text: &str) -> Result<Self, AddrParseError> {
         let separators = |c: char| c == ',' || c.is_whitespace();
-        let words = text.split(separators).filter(|word| !word.is_empty());
-        let seeds: Result<_, _> = words.map(|word| word.parse().map(AgentAddress)).collect();
+        let entries = text.split(separators).filter(|entry| !entry.is_empty());
+        let seeds: Result<_, _> = entries
+            .map(|entry| entry.parse().map(AgentAddress))
+            .collect();
         Ok(Self(seeds?))
     }
 }
 
-/// Limits that end what would otherwise wait for ever.
+/// Timeouts and size limits, so that nothing waits or grows without bound.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// How long a planned stop waits for work in flight.
+    /// Drain timeout: how long a planned stop waits for work in flight.
     pub drain: Duration,
-    /// The deadline of a request whose caller names none.
+    /// Default deadline of a request whose caller sets none.
     pub request_deadline: Duration,
-    /// How long a flow may be silent before it is closed.
+    /// Idle timeout of a flow.
     pub flow_idle: Duration,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// How long a once-only request's answer is kept.
+    /// How long the answer to a once-only request is kept.
     pub ticket_lifetime: Duration,
 }
 
-/// What a balancer is told.
+/// Settings of a balancer of QUIC traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BalancerSettings {
-    /// What every process is told.
+    /// Settings that all processes have.
     pub common: CommonSettings,
-    /// How datagrams arrive.
+    /// How callers' datagrams arrive.
     pub ingress: IngressKind,
-    /// Where the fabric hands them in.
+    /// Listen address for callers' datagrams.
     pub listen: SocketAddrV4,
 }
 
-/// What an agent is told.
+/// Settings of an agent of QUIC traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// What every process is told.
+    /// Settings that all processes have.
     pub common: CommonSettings,
-    /// The service of its backend server.
+    /// The service of the agent's backend server.
     pub service: ServiceName,
-    /// Its backend server.
+    /// Address of the backend server.
     pub backend: SocketAddrV4,
-    /// Where its backend server calls the services it depends on.
+    /// Listen address for the backend server's calls to the services it depends on.
     pub gateway_listen: SocketAddrV4,
-    /// The service's certificate chain, PEM.
+    /// Path of the service's certificate chain, PEM.
     pub certificate: PathBuf,
-    /// Its private key, PEM.
+    /// Path of the certificate's private key, PEM.
     pub private_key: PathBuf,
-    /// How many requests its backend server runs at once. Invariant: at least 1.
+    /// Number of requests that the backend server runs concurrently. Invariant: at least 1.
     pub slots: u16,
 }
 
 impl BalancerSettings {
-    /// Every field that a balancer's settings may have, for the settings reference.
+    /// Returns every field that a balancer's settings may have. A test compares them with the
+    /// settings reference.
     #[must_use]
     pub fn fields() -> Vec<FieldName> {
-        FieldReader::fields_of(Self::take)
+        FieldReader::requested_fields(Self::read)
     }
 
-    fn take(reader: &mut FieldReader) -> Option<Self> {
-        let common = reader.common();
+    fn read(reader: &mut FieldReader) -> Option<Self> {
+        let common = reader.common_settings();
         let ingress = reader.value(
             "balancer",
             "ingress",
@@ -186,27 +189,28 @@
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// Returns all faults of the file.
     pub fn parse(text: &str) -> Result<Self, FaultList<SettingFault>> {
         FieldReader::parse_file(
             text,
             &[
                 "process", "platform", "keys", "network", "limits", "balancer",
             ],
-            Self::take,
+            Self::read,
         )
     }
 }
 
 impl AgentSettings {
-    /// Every field that an agent's settings may have, for the settings reference.
+    /// Returns every field that an agent's settings may have. A test compares them with the
+    /// settings reference.
     #[must_use]
     pub fn fields() -> Vec<FieldName> {
-        FieldReader::fields_of(Self::take)
+        FieldReader::requested_fields(Self::read)
     }
 
-    fn take(reader: &mut FieldReader) -> Option<Self> {
-        let common = reader.common();
+    fn read(reader: &mut FieldReader) -> Option<Self> {
+        let common = reader.common_settings();
         let service = reader.value("agent", "service", "the name of a service", None);
         let backend = reader.value("agent", "backend", "an address IP:PORT", None);
         let gateway_listen = reader.value("agent", "gateway_listen", "an address IP:PORT", None);
@@ -228,27 +232,27 @@
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// Returns all faults of the file.
     pub fn parse(text: &str) -> Result<Self, FaultList<SettingFault>> {
         FieldReader::parse_file(
             text,
             &["process", "platform", "keys", "network", "limits", "agent"],
-            Self::take,
+            Self::read,
         )
     }
 }
 
 impl FieldReader {
-    fn common(&mut self) -> Option<CommonSettings> {
-        let _kind = self.traffic();
+    fn common_settings(&mut self) -> Option<CommonSettings> {
+        let _kind = self.traffic_kind();
         let name = self.value("process", "name", "a name", None);
         let zone = self.value("process", "zone", "the name of a zone", None);
         let control = self.value("process", "control", "an address IP:PORT", None);
         let operations = self.value("process", "operations", "an address IP:PORT", None);
-        let operators = self.optional("process", "operators", "a block IP/BITS");
+        let operators = self.optional("process", "operators", "a CIDR block IP/BITS");
         let threads = self.threads();
         let platform = self.value("platform", "address", "an address IP:PORT", None);
-        let platform_poll = self.millis("platform", "poll_ms", "1000");
+        let platform_poll = self.milliseconds("platform", "poll_ms", "1000");
         let key_file = self.value("keys", "file", "a path", None);
         let gateway = self.optional("network", "gateway", "an address IP:PORT");
         let seeds = self.optional("network", "seeds", "a list of addresses IP:PORT");
@@ -275,11 +279,11 @@
     }
 
     fn limits(&mut self) -> Option<LimitSettings> {
-        let drain = self.millis("limits", "drain_ms", "30000");
-        let request_deadline = self.millis("limits", "request_deadline_ms", "10000");
-        let flow_idle = self.millis("limits", "flow_idle_ms", "30000");
+        let drain = self.milliseconds("limits", "drain_ms", "30000");
+        let request_deadline = self.milliseconds("limits", "request_deadline_ms", "10000");
+        let flow_idle = self.milliseconds("limits", "flow_idle_ms", "30000");
         let body_bytes = self.at_least_one::<u32>("limits", "body_bytes", Some("1048576"));
-        let ticket_lifetime = self.millis("limits", "ticket_lifetime_ms", "600000");
+        let ticket_lifetime = self.milliseconds("limits", "ticket_lifetime_ms", "600000");
         Some(LimitSettings {
             drain: drain?,
             request_deadline: request_deadline?,
--- a/crates/settings/src/text.rs
+++ b/crates/settings/src/text.rs
@@ -1,4 +1,4 @@
-//! The service text: each service, its addresses and what it depends on.
+//! The service text: each service with its addresses, dependencies and once-only routes.
 //!
 //! ```ini
 //! [service claims]
@@ -21,17 +21,19 @@
 use crate::fault::{FaultList, TextFault, TextFaultKind};
 use crate::text_reader::TextReader;
 
-/// The largest service text, in bytes: one value of the platform's configuration service.
+/// The maximum length of a service text: the limit for one value of the platform's configuration
+/// service.
 pub const MAX_TEXT_BYTES: usize = 1_000_000;
 
-/// One address of a service.
+/// An address of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAddress {
-    /// Where callers send.
+    /// The address that callers send to.
     pub address: SocketAddrV4,
-    /// The agency that the address belongs to. Fairness is by this, which no caller can forge.
+    /// The agency that the address belongs to. Fair sharing uses it because a caller cannot forge
+    /// the address that it sends to.
     pub agency: Option<AgencyName>,
-    /// Its line in the text, from 1.
+    /// The line of the address in the text, from 1.
     pub line: usize,
 }
 
@@ -40,27 +42,28 @@
 pub struct OnceRoute {
     /// The method, in upper case.
     pub method: String,
-    /// The path, which must match whole, without its query.
+    /// The exact path, without a query.
     pub path: String,
 }
 
-/// One service of the text.
+/// A service of the text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// The name in the section heading. Invariant: unique in the text.
     pub name: ServiceName,
-    /// Its addresses. Invariant: at least one, none shared with another service.
+    /// The service's addresses. Invariant: at least one, each unique in the text.
     pub addresses: Vec<ServiceAddress>,
-    /// The services its backend servers may call. Invariant: each is in the text, no circle.
+    /// The services that the backend servers may call. Invariant: each is in the text, and there
+    /// are no cycles.
     pub depends: SmallVec<[ServiceName; 4]>,
-    /// Its once-only routes.
+    /// The routes whose requests must run at most once.
     pub once: SmallVec<[OnceRoute; 2]>,
-    /// The line of its heading, from 1.
+    /// The line of the section heading, from 1.
     pub line: usize,
 }
 
 impl ServiceEntry {
-    /// Whether a request must run at most once.
+    /// Returns whether a request must run at most once. The query of `path` is ignored.
     #[must_use]
     pub fn is_once_only(&self, method: &str, path: &str) -> bool {
         let path = path.split('?').next().unwrap_or(path);
@@ -70,26 +73,26 @@
     }
 }
 
-/// A service text that was found free of faults.
+/// A valid service text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceText {
-    /// The services in the order of the text.
+    /// The services, in the order of the text.
     pub services: Vec<ServiceEntry>,
 }
 
 impl ServiceText {
-    /// Parses and checks a text.
+    /// Parses and validates a text.
     ///
     /// # Errors
     ///
-    /// Every fault of the text, in order of lines.
+    /// Returns all faults of the text, ordered by line.
     pub fn parse(text: &str) -> Result<Self, FaultList<TextFault>> {
         if text.len() > MAX_TEXT_BYTES {
             let kind = TextFaultKind::TooLarge { length: text.len() };
             return Err(FaultList(vec![TextFault { line: 1, kind }]));
         }
         let document = IniDocument::parse(text).map_err(|error| {
-            let kind = TextFaultKind::NotIni {
+            let kind = TextFaultKind::InvalidSyntax {
                 reason: error.reason,
             };
             FaultList(vec![TextFault {
@@ -102,7 +105,7 @@
         reader.finish()
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceEntry> {
         self.services
@@ -110,13 +113,13 @@
             .find(|entry| entry.name.as_str() == name)
     }
 
-    /// The service with this number.
+    /// Returns the service with this ID.
     #[must_use]
     pub fn service_by_id(&self, id: ServiceId) -> Option<&ServiceEntry> {
         self.services.iter().find(|entry| entry.name.id() == id)
     }
 
-    /// The service that an address leads to, and the address's entry.
+    /// Returns the service that an address belongs to, and the address's entry.
     #[must_use]
     pub fn service_at(&self, address: SocketAddrV4) -> Option<(&ServiceEntry, &ServiceAddress)> {
         self.services.iter().find_map(|entry| {
--- a/crates/settings/src/text_reader.rs
+++ b/crates/settings/src/text_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a service text section by section and checks what its services say of each other.
+//! Reads a service text section by section and checks the references between its services.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -7,31 +7,32 @@
 use lovagelatch_domain::{AgencyName, ServiceId, ServiceName};
 use smallvec::SmallVec;
 
-use crate::document::{DocumentField, DocumentSection, IniDocument};
+use crate::document::{IniDocument, IniField, IniSection};
 use crate::fault::{FaultList, TextFault, TextFaultKind};
 use crate::text::{OnceRoute, ServiceAddress, ServiceEntry, ServiceText};
 
-/// Collects services and faults while a document is read.
+/// Collects the services and faults of a document.
 #[derive(Default)]
 pub(crate) struct TextReader {
     services: Vec<ServiceEntry>,
     faults: Vec<TextFault>,
-    lines_of_addresses: HashMap<SocketAddrV4, usize>,
-    /// Positions in `services`.
-    names: HashMap<ServiceName, usize>,
-    numbers: HashMap<ServiceId, usize>,
+    address_lines: HashMap<SocketAddrV4, usize>,
+    /// Positions in `services`, by name.
+    positions: HashMap<ServiceName, usize>,
+    /// Positions in `services`, by ID.
+    positions_by_id: HashMap<ServiceId, usize>,
     /// The line of each dependency, by service and dependency.
-    lines_of_depends: HashMap<(ServiceName, ServiceName), usize>,
+    dependency_lines: HashMap<(ServiceName, ServiceName), usize>,
 }
 
 impl TextReader {
-    fn fault(&mut self, line: usize, kind: TextFaultKind) {
+    fn record_fault(&mut self, line: usize, kind: TextFaultKind) {
         self.faults.push(TextFault { line, kind });
     }
 
     pub(crate) fn read(&mut self, document: &IniDocument) {
-        for &line in &document.stray_lines {
-            self.fault(line, TextFaultKind::OutsideSection);
+        for &line in &document.lines_outside_sections {
+            self.record_fault(line, TextFaultKind::OutsideSection);
         }
         for section in &document.sections {
             self.read_section(section);
@@ -50,24 +51,24 @@
         Err(FaultList(self.faults))
     }
 
-    fn read_section(&mut self, section: &DocumentSection) {
+    fn read_section(&mut self, section: &IniSection) {
         let Some(name) = section.name.strip_prefix("service ").map(str::trim) else {
             let kind = TextFaultKind::UnknownSection {
                 section: section.name.clone(),
             };
-            self.fault(section.line, kind);
+            self.record_fault(section.line, kind);
             return;
         };
         let Some(name) = self.parse_name::<ServiceName>(name, section.line) else {
             return;
         };
-        if let Some(&first) = self.names.get(&name) {
+        if let Some(&first) = self.positions.get(&name) {
             let first = self.services[first].line;
             let kind = TextFaultKind::DuplicateService {
                 service: name,
                 first,
             };
-            self.fault(section.line, kind);
+            self.record_fault(section.line, kind);
             return;
         }
         let entry = ServiceEntry {
@@ -80,7 +81,7 @@
         self.read_fields(entry, section);
     }
 
-    fn read_fields(&mut self, mut entry: ServiceEntry, section: &DocumentSection) {
+    fn read_fields(&mut self, mut entry: ServiceEntry, section: &IniSection) {
         for field in &section.fields {
             match field.name.as_str() {
                 "address" => self.read_address(&mut entry, field),
@@ -90,7 +91,7 @@
                     let kind = TextFaultKind::UnknownField {
                         field: field.name.clone(),
                     };
-                    self.fault(field.line, kind);
+                    self.record_fault(field.line, kind);
                 }
             }
         }
@@ -99,28 +100,28 @@
             let kind = TextFaultKind::NoAddress {
                 service: entry.name.clone(),
             };
-            self.fault(entry.line, kind);
+            self.record_fault(entry.line, kind);
         }
         self.add_service(entry);
     }
 
     fn add_service(&mut self, entry: ServiceEntry) {
         let position = self.services.len();
-        if let Some(&other) = self.numbers.get(&entry.name.id()) {
+        if let Some(&other) = self.positions_by_id.get(&entry.name.id()) {
             let other = self.services[other].name.clone();
-            let kind = TextFaultKind::SameNumber {
+            let kind = TextFaultKind::IdCollision {
                 service: entry.name.clone(),
                 other,
             };
-            self.fault(entry.line, kind);
+            self.record_fault(entry.line, kind);
         }
-        self.numbers.insert(entry.name.id(), position);
-        self.names.insert(entry.name.clone(), position);
+        self.positions_by_id.insert(entry.name.id(), position);
+        self.positions.insert(entry.name.clone(), position);
         self.services.push(entry);
     }
 
-    fn read_address(&mut self, entry: &mut ServiceEntry, field: &DocumentField) {
-        let bad = || TextFaultKind::BadAddress {
+    fn read_address(&mut self, entry: &mut ServiceEntry, field: &IniField) {
+        let invalid = || TextFaultKind::InvalidAddress {
             address: field.value.clone(),
         };
         let mut words = field.value.split_whitespace();
@@ -129,7 +130,7 @@
             .and_then(|word| word.parse::<SocketAddrV4>().ok());
         let agency = words.next();
         let (Some(address), None) = (address, words.next()) else {
-            self.fault(field.line, bad());
+            self.record_fault(field.line, invalid());
             return;
         };
         let agency = match agency {
@@ -139,11 +140,14 @@
             },
             None => None,
         };
-        if let Some(&first) = self.lines_of_addresses.get(&address) {
-            self.fault(field.line, TextFaultKind::SharedAddress { address, first });
+        if let Some(&first) = self.address_lines.get(&address) {
+            self.record_fault(
+                field.line,
+                TextFaultKind::DuplicateAddress { address, first },
+            );
             return;
         }
-        self.lines_of_addresses.insert(address, field.line);
+        self.address_lines.insert(address, field.line);
         entry.addresses.push(ServiceAddress {
             address,
             agency,
@@ -151,7 +155,7 @@
         });
     }
 
-    fn read_depends(&mut self, entry: &mut ServiceEntry, field: &DocumentField) {
+    fn read_depends(&mut self, entry: &mut ServiceEntry, field: &IniField) {
         let separators = |c: char| c == ',' || c.is_whitespace();
         for word in field
             .value
@@ -162,19 +166,19 @@
                 continue;
             };
             if entry.depends.contains(&dependency) {
-                self.fault(
+                self.record_fault(
                     field.line,
                     TextFaultKind::DuplicateDependency { dependency },
                 );
                 continue;
             }
             let key = (entry.name.clone(), dependency.clone());
-            self.lines_of_depends.insert(key, field.line);
+            self.dependency_lines.insert(key, field.line);
             entry.depends.push(dependency);
         }
     }
 
-    fn read_once(&mut self, entry: &mut ServiceEntry, field: &DocumentField) {
+    fn read_once(&mut self, entry: &mut ServiceEntry, field: &IniField) {
         let mut words = field.value.split_whitespace();
         let route = match (words.next(), words.next(), words.next()) {
             (Some(method), Some(path), None) if path.starts_with('/') => OnceRoute {
@@ -182,9 +186,9 @@
                 path: path.to_owned(),
             },
             _ => {
-                self.fault(
+                self.record_fault(
                     field.line,
-                    TextFaultKind::BadRoute {
+                    TextFaultKind::InvalidRoute {
                         route: field.value.clone(),
                     },
                 );
@@ -202,9 +206,9 @@
         match word.parse() {
             Ok(name) => Some(name),
             Err(error) => {
-                self.fault(
+                self.record_fault(
                     line,
-                    TextFaultKind::BadName {
+                    TextFaultKind::InvalidName {
                         name: word.to_owned(),
                         error,
                     },
@@ -220,7 +224,7 @@
             for dependency in entry
                 .depends
                 .iter()
-                .filter(|name| !self.names.contains_key(*name))
+                .filter(|name| !self.positions.contains_key(*name))
             {
                 let line = self.line_of_dependency(&entry.name, dependency);
                 let kind = TextFaultKind::UnknownDependency {
@@ -235,21 +239,22 @@
 
     fn line_of_dependency(&self, service: &ServiceName, dependency: &ServiceName) -> usize {
         let key = (service.clone(), dependency.clone());
-        self.lines_of_depends.get(&key).copied().unwrap_or(1)
+        self.dependency_lines.get(&key).copied().unwrap_or(1)
     }
 
-    /// Walks the dependencies depth first, without recursion, so that a long chain in a hostile
-    /// text cannot exhaust the stack. Each circle is reported once, at the edge that closes it.
+    /// Searches the dependencies for cycles, depth first and without recursion, so that a long
+    /// chain in a malicious text cannot overflow the stack. Each cycle is reported once, at the
+    /// edge that closes it.
     fn check_cycles(&mut self) {
-        let mut visits = vec![VisitState::Unseen; self.services.len()];
+        let mut visits = vec![VisitState::Unvisited; self.services.len()];
         for start in 0..self.services.len() {
-            if visits[start] == VisitState::Unseen {
-                self.walk_from(start, &mut visits);
+            if visits[start] == VisitState::Unvisited {
+                self.check_cycles_from(start, &mut visits);
             }
         }
     }
 
-    fn walk_from(&mut self, start: usize, visits: &mut [VisitState]) {
+    fn check_cycles_from(&mut self, start: usize, visits: &mut [VisitState]) {
         let mut path = vec![(start, 0)];
         visits[start] = VisitState::OnPath;
         while let Some((position, next_edge)) = path.last_mut() {
@@ -260,11 +265,11 @@
                 continue;
             };
             *next_edge += 1;
-            let Some(&target) = self.names.get(dependency) else {
+            let Some(&target) = self.positions.get(dependency) else {
                 continue;
             };
             match visits[target] {
-                VisitState::Unseen => {
+                VisitState::Unvisited => {
                     visits[target] = VisitState::OnPath;
                     path.push((target, 0));
                 }
@@ -287,14 +292,14 @@
         let last = names.last().cloned().unwrap_or_else(|| names[0].clone());
         let line = self.line_of_dependency(&last, &names[0]);
         names.push(names[0].clone());
-        self.fault(line, TextFaultKind::DependencyCycle { path: names });
+        self.record_fault(line, TextFaultKind::DependencyCycle { path: names });
     }
 }
 
-/// Where a walk over the dependencies has got with one service.
+/// The state of a service in the depth-first search.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum VisitState {
-    Unseen,
+    Unvisited,
     OnPath,
     Finished,
 }
--- a/crates/settings/tests/all/plan.rs
+++ b/crates/settings/tests/all/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what a new text changes.
+//! Plans: the changes between two texts and their risk.
 
 use lovagelatch_settings::{PlanRisk, ServiceText, TextPlan};
 
@@ -38,7 +38,7 @@
         risk: PlanRisk::None,
     },
     PlanCase {
-        name: "address passes between services",
+        name: "two services exchange addresses",
         new: "[service a]\naddress = 127.0.0.1:2\ndepends = b\nonce = POST /f\n\
               [service b]\naddress = 127.0.0.1:1 x\n",
         changes: &[
@@ -54,7 +54,7 @@
         changes: &[
             "b depends on a",
             "a: POST /g runs at most once",
-            "address 127.0.0.1:1 passes from x to y",
+            "change agency of address 127.0.0.1:1 from x to y",
             "a no longer depends on b",
             "a: POST /f no longer runs at most once",
         ],
--- a/crates/settings/tests/all/process.rs
+++ b/crates/settings/tests/all/process.rs
@@ -1,4 +1,4 @@
-//! Settings of processes: every fault at once, each with its line.
+//! Settings files: defaults, and all faults at once, each with its line.
 
 use lovagelatch_settings::{AddressBlock, AgentSettings, BalancerSettings, IngressKind};
 use quickcheck::quickcheck;
@@ -53,10 +53,10 @@
         ],
     },
     FaultCase {
-        name: "given twice",
+        name: "set twice",
         from: "listen = 127.0.0.1:7001",
         to: "listen = 127.0.0.1:7001\nlisten = 127.0.0.1:7002",
-        faults: &["line 13: [balancer] listen: given twice"],
+        faults: &["line 13: [balancer] listen: set more than once"],
     },
     FaultCase {
         name: "unknown section",
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn address_blocks_hold_what_their_bits_say() {
+fn address_blocks_contain_the_addresses_with_their_prefix() {
     struct BlockCase(&'static str, &'static str, bool);
     const CASES: &[BlockCase] = &[
         BlockCase("127.0.0.0/8", "127.255.3.4", true),
--- a/crates/settings/tests/all/reference.rs
+++ b/crates/settings/tests/all/reference.rs
@@ -1,4 +1,4 @@
-//! The settings reference in the docs against the code.
+//! Compares the settings reference in the documentation with the fields that the code reads.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,9 @@
 
 const REFERENCE: &str = include_str!("../../../../docs/operating/settings.md");
 
-/// The fields that a part of the reference lists, as `section.field`: rows that start with "| `[".
-fn listed(heading: &str) -> BTreeSet<String> {
+/// Returns the fields that the part under `heading` lists, as `section.field`, from the table rows
+/// that start with "| `[".
+fn documented_fields(heading: &str) -> BTreeSet<String> {
     let mut parts = REFERENCE.split("\n## ");
     let part = parts.find(|part| part.starts_with(heading));
     let lines = part.expect("the heading").lines();
@@ -22,7 +23,7 @@
     .collect()
 }
 
-fn read(balancer: Vec<FieldName>, agent: Vec<FieldName>) -> BTreeSet<String> {
+fn read_fields(balancer: Vec<FieldName>, agent: Vec<FieldName>) -> BTreeSet<String> {
     let fields = balancer.into_iter().chain(agent);
     let names = fields.map(|(section, field)| format!("{section}.{field}"));
     names.collect()
@@ -38,17 +39,22 @@
     let cases = [
         ReferenceCase {
             heading: "QUIC",
-            read: read(BalancerSettings::fields(), AgentSettings::fields()),
+            read: read_fields(BalancerSettings::fields(), AgentSettings::fields()),
         },
         ReferenceCase {
             heading: "Opaque packets",
-            read: read(
+            read: read_fields(
                 OpaqueBalancerSettings::fields(),
                 OpaqueAgentSettings::fields(),
             ),
         },
     ];
     for case in cases {
-        assert_eq!(listed(case.heading), case.read, "{}", case.heading);
+        assert_eq!(
+            documented_fields(case.heading),
+            case.read,
+            "{}",
+            case.heading
+        );
     }
 }
--- a/crates/settings/tests/all/text.rs
+++ b/crates/settings/tests/all/text.rs
@@ -1,4 +1,4 @@
-//! The service text: what is accepted, and what each fault says.
+//! The service text: accepted texts, and the message of each fault.
 
 use lovagelatch_settings::{MAX_TEXT_BYTES, ServiceText};
 use quickcheck::quickcheck;
@@ -8,7 +8,7 @@
 struct FaultCase {
     name: &'static str,
     text: &'static str,
-    /// Start of each expected fault, in order.
+    /// The start of each expected message, in order.
     faults: &'static [&'static str],
 }
 
@@ -16,7 +16,7 @@
     FaultCase {
         name: "field before any section",
         text: "address = 127.0.0.1:1\n",
-        faults: &["line 1: this field stands outside a section"],
+        faults: &["line 1: field outside a section"],
     },
     FaultCase {
         name: "unknown section",
@@ -29,28 +29,28 @@
         faults: &["line 3: unknown field 'port'"],
     },
     FaultCase {
-        name: "bad name",
+        name: "invalid name",
         text: "[service A]\naddress = 127.0.0.1:1\n",
-        faults: &["line 1: bad name \"A\""],
+        faults: &["line 1: invalid name \"A\""],
     },
     FaultCase {
-        name: "bad addresses",
+        name: "invalid addresses",
         text: "[service a]\naddress = localhost:1\naddress = 127.0.0.1\naddress = 1.2.3.4:5 x y\n",
         faults: &[
-            "line 2: bad address",
-            "line 3: bad address",
-            "line 4: bad address",
+            "line 2: invalid address",
+            "line 3: invalid address",
+            "line 4: invalid address",
         ],
     },
     FaultCase {
-        name: "shared address",
+        name: "address of two services",
         text: "[service a]\naddress = 127.0.0.1:1\n[service b]\naddress = 127.0.0.1:1\n",
-        faults: &["line 4: address 127.0.0.1:1 is already given on line 2"],
+        faults: &["line 4: address 127.0.0.1:1 is already listed on line 2"],
     },
     FaultCase {
         name: "duplicate service",
         text: "[service a]\naddress = 127.0.0.1:1\n[service a]\naddress = 127.0.0.1:2\n",
-        faults: &["line 3: service a is already given on line 1"],
+        faults: &["line 3: service a is already defined on line 1"],
     },
     FaultCase {
         name: "no address",
@@ -61,33 +61,33 @@
         name: "unknown and repeated dependency",
         text: "[service a]\naddress = 127.0.0.1:1\ndepends = b, b\n",
         faults: &[
-            "line 3: b is named twice",
+            "line 3: b is listed twice",
             "line 3: a depends on b, which is not in this text",
         ],
     },
     FaultCase {
-        name: "circle of three",
+        name: "cycle of three",
         text: "[service a]\naddress = 127.0.0.1:1\ndepends = b\n\
                [service b]\naddress = 127.0.0.1:2\ndepends = c\n\
                [service c]\naddress = 127.0.0.1:3\ndepends = a\n",
-        faults: &["line 9: dependencies form a circle: a -> b -> c -> a"],
+        faults: &["line 9: dependencies form a cycle: a -> b -> c -> a"],
     },
     FaultCase {
-        name: "circle of one",
+        name: "cycle of one",
         text: "[service a]\naddress = 127.0.0.1:1\ndepends = a\n",
-        faults: &["line 3: dependencies form a circle: a -> a"],
+        faults: &["line 3: dependencies form a cycle: a -> a"],
     },
     FaultCase {
-        name: "bad once-only route",
+        name: "invalid once-only route",
         text: "[service a]\naddress = 127.0.0.1:1\nonce = /claims\n",
-        faults: &["line 3: bad once-only route"],
+        faults: &["line 3: invalid once-only route"],
     },
     FaultCase {
         name: "several faults at once",
         text: "[service a]\naddress = nowhere\nonce = x\nshape = round\n",
         faults: &[
-            "line 2: bad address",
-            "line 3: bad once-only",
+            "line 2: invalid address",
+            "line 3: invalid once-only",
             "line 4: unknown field",
         ],
     },
@@ -125,9 +125,8 @@
     assert!(faults.to_string().contains("1000001 bytes"), "{faults}");
 }
 
-/// Symptom: a parser that recurses along dependencies dies on a long chain.
-/// Sequence: a text names thousands of services, each depending on the next.
-/// Cause: depth of recursion grows with the text.
+/// Guards against a stack overflow on a text with thousands of services that each depend on the
+/// next, which a recursive search for cycles would cause.
 #[test]
 fn a_long_chain_of_dependencies_is_walked() {
     let mut text = String::new();
