--- a/bins/agent/src/packet/arrival.rs
+++ b/bins/agent/src/packet/arrival.rs
@@ -6,7 +6,7 @@
 use lovagelatch_domain::{GateReport, Moment};
 use lovagelatch_membership::{FleetView, TargetStanding};
 use lovagelatch_routing::{
-    ArrivalDecision, ArrivalPacket, FlowHolding, FlowRouter, PacketView, RoutingTable,
+    ArrivalDecision, ArrivalPacket, FlowAdmission, FlowRouter, PacketView, RoutingTable,
 };
 use lovagelatch_wire::ForwardHeader;
 
@@ -48,10 +48,10 @@
             false => None,
         };
         if let Some(OpeningPlace::Peer(peer)) = known {
-            return ArrivalDecision::HandOn { agent: peer };
+            return ArrivalDecision::Forward { agent: peer };
         }
-        let holding = match known {
-            Some(_) => FlowHolding::Begun,
+        let admission = match known {
+            Some(_) => FlowAdmission::HandshakeStarted,
             None => holding_of(agent),
         };
         let arrival = ArrivalPacket {
@@ -59,11 +59,11 @@
             service: header.service,
             revision: header.revision,
             hops: header.hops,
-            holding,
+            admission,
         };
         let own = agent.address();
         let flows = FlowRouter::with_keys(&agent.keys.load());
-        let decision = flows.arrive(&arrival, own, agent.service, &self.table);
+        let decision = flows.route_arrival(&arrival, own, agent.service, &self.table);
         let decision = self.confirm(agent, opens, decision);
         if opens && known.is_none() {
             self.remember(packet.flow_key, decision, now);
@@ -78,7 +78,7 @@
     /// packet would vanish and the caller's flow stay silent until its idle timeout. If the
     /// views differ, the peer may live, and a reset would cut a flow that works.
     fn confirm(&self, agent: &Agent, opens: bool, decision: ArrivalDecision) -> ArrivalDecision {
-        let ArrivalDecision::HandOn { agent: holder } = decision else {
+        let ArrivalDecision::Forward { agent: holder } = decision else {
             return decision;
         };
         let targets = self.view.targets(agent.service);
@@ -94,7 +94,7 @@
     fn remember(&mut self, key: &[u8], decision: ArrivalDecision, now: Moment) {
         match decision {
             ArrivalDecision::Accept => self.openings.note(key, OpeningPlace::Here, now),
-            ArrivalDecision::HandOn { agent } => {
+            ArrivalDecision::Forward { agent } => {
                 self.openings.note(key, OpeningPlace::Peer(agent), now);
             }
             _ => {}
@@ -104,23 +104,23 @@
     fn refresh(&mut self, agent: &Agent) {
         let view = agent.fleet.view();
         if !Arc::ptr_eq(&view, &self.view) {
-            self.table = RoutingTable::from_view_of(&[agent.service], &view, &self.table);
+            self.table = RoutingTable::from_view_for(&[agent.service], &view, &self.table);
             self.view = view;
         }
     }
 }
 
-fn holding_of(agent: &Agent) -> FlowHolding {
+fn holding_of(agent: &Agent) -> FlowAdmission {
     if agent.drain.is_leaving() {
-        return FlowHolding::Leaving;
+        return FlowAdmission::Leaving;
     }
     let own = agent.gate.report();
     let peers = agent.fleet.peer_reports();
     let loads = peers.iter().map(|peer| load_of(&peer.report));
     if own.in_use >= own.slots && is_over_share(load_of(&own), loads) {
-        return FlowHolding::OverShare;
+        return FlowAdmission::OverShare;
     }
-    FlowHolding::Open
+    FlowAdmission::Accepting
 }
 
 /// Requests under way for each slot.
--- a/bins/agent/src/packet/ingress.rs
+++ b/bins/agent/src/packet/ingress.rs
@@ -113,7 +113,7 @@
                 self.agent.metrics.packets.count("reset");
                 self.push(header, packet);
             }
-            ArrivalDecision::HandOn { agent } => {
+            ArrivalDecision::Forward { agent } => {
                 if opens {
                     self.agent.metrics.flows.count("handed_on");
                     info!(self.agent.log, "flow handed on";
--- a/bins/balancer/src/count.rs
+++ b/bins/balancer/src/count.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use lovagelatch_routing::{PacketFault, RouteDecision, RouteRefusal};
+use lovagelatch_routing::{PacketError, RouteDecision, RouteRefusal};
 use lovagelatch_telemetry::{Counter, KeyValue, Meter};
 
 /// What became of a caller's datagram.
@@ -77,12 +77,12 @@
     }
 }
 
-impl From<&PacketFault> for PacketOutcome {
-    fn from(fault: &PacketFault) -> Self {
+impl From<&PacketError> for PacketOutcome {
+    fn from(fault: &PacketError) -> Self {
         match fault {
-            PacketFault::Header(_) => Self::BadHeader,
-            PacketFault::Token(_) => Self::BadToken,
-            PacketFault::SmallInitial { .. } | PacketFault::ShortId { .. } => Self::BadOpening,
+            PacketError::Header(_) => Self::BadHeader,
+            PacketError::Token(_) => Self::BadToken,
+            PacketError::SmallInitial { .. } | PacketError::ShortId { .. } => Self::BadOpening,
         }
     }
 }
@@ -95,7 +95,7 @@
             RouteDecision::Reset { .. } => Self::Reset,
             RouteDecision::Refuse { reason } => match reason {
                 RouteRefusal::UnknownAddress => Self::UnknownAddress,
-                RouteRefusal::WrongService { .. } | RouteRefusal::AgentElsewhere { .. } => {
+                RouteRefusal::WrongService { .. } | RouteRefusal::AgentReassigned { .. } => {
                     Self::WrongService
                 }
                 RouteRefusal::NoTarget { .. } => Self::NoTarget,
--- a/bins/balancer/src/refresh.rs
+++ b/bins/balancer/src/refresh.rs
@@ -54,7 +54,7 @@
 /// follows the view waits for this.
 async fn tend_table(state: &ForwardState) {
     let table = state.table.load_full();
-    let tended = tokio::task::spawn_blocking(move || table.tend(ROW_BUDGET_BYTES)).await;
+    let tended = tokio::task::spawn_blocking(move || table.refresh_buckets(ROW_BUDGET_BYTES)).await;
     if let Ok(Some(table)) = tended {
         state.table.store(Arc::new(table));
     }
@@ -85,7 +85,7 @@
         }
         self.looked = now;
         let change = ViewChange::between(&self.held, view);
-        self.absences.note(&self.held, view, &change, now);
+        self.absences.record(&self.held, view, &change, now);
         self.held = Arc::clone(view);
         let gone: Vec<AgentAddress> = self.absences.gone(now).collect();
         if changed || gone != self.gone {
@@ -96,7 +96,7 @@
 
     fn store(&self, change: &ViewChange, state: &ForwardState) {
         let earlier = state.table.load();
-        let table = earlier.follow(&self.held, change);
+        let table = earlier.with_change(&self.held, change);
         let table = table.with_gone(self.gone.iter().copied());
         state.table.store(Arc::new(table));
     }
--- a/bins/balancer/src/step.rs
+++ b/bins/balancer/src/step.rs
@@ -72,7 +72,7 @@
         };
         let packet = PacketView::read(datagram, origin.service_address, self.keys).ok()?;
         let from = AgentAddress(returned.destination);
-        let decision = self.router.return_packet(&packet, from, self.table)?;
+        let decision = self.router.route_returned(&packet, from, self.table)?;
         match decision {
             RouteDecision::Reset { agent, service, .. } => {
                 self.push(origin, datagram, agent, service, ASKED_ANOTHER);
--- a/crates/operations/src/explain.rs
+++ b/crates/operations/src/explain.rs
@@ -71,13 +71,13 @@
 
     fn decide(&mut self, view: &FleetView, flow_key: &[u8], router: &FlowRouter) {
         let service = view.service_at(self.address);
-        let table = RoutingTable::from_view_of(service.as_slice(), view, &RoutingTable::default());
+        let table = RoutingTable::from_view_for(service.as_slice(), view, &RoutingTable::default());
         let packet = PacketView {
             service_address: self.address,
             flow_key,
             token: None,
         };
-        let order = router.rendezvous_order(&packet, &table, MAX_CANDIDATES);
+        let order = router.ranked_agents(&packet, &table, MAX_CANDIDATES);
         self.candidates = order
             .iter()
             .filter_map(|&agent| candidate(view, service?, agent))
--- a/crates/routing/benches/decision.rs
+++ b/crates/routing/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What a decision costs: one datagram from its bytes to the agent it goes to.
+//! Benchmarks of the routing decision: from a datagram's bytes to the agent it is forwarded to.
 //!
 //! `cargo bench -p lovagelatch-routing`
 
@@ -22,7 +22,7 @@
 
 const SERVICE: ServiceId = ServiceId(7);
 const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 20, 0, 1), 4433);
-/// Different packets in turn, so that no branch or cache line is always the same.
+/// The number of different packets used in turn, to vary branches and cache lines.
 const PACKETS: usize = 1_024;
 const TARGETS_PER_SERVICE: u32 = 6;
 
@@ -110,11 +110,11 @@
         measure(&name("23 targets, no row"), &initial_packets(), &typical);
         let ring = |table: &RoutingTable| table.ring_of(SERVICE).and_then(|ring| ring.pick(1));
         assert!(ring(&typical).is_some() && ring(&many).is_some());
-        if let Some(typical) = typical.tend(usize::MAX) {
+        if let Some(typical) = typical.refresh_buckets(usize::MAX) {
             measure(&name("23 targets"), &initial_packets(), &typical);
         }
         measure(&name("400 targets, no row"), &initial_packets(), &many);
-        let many = many.tend(usize::MAX).expect("a row of buckets");
+        let many = many.refresh_buckets(usize::MAX).expect("a bucket table");
         measure(&name("400 targets"), &initial_packets(), &many);
     }
     group.finish();
@@ -149,7 +149,7 @@
             group.bench_function(
                 BenchmarkId::new(format!("build, {slots} slots"), count),
                 |b| {
-                    b.iter(|| ServiceRing::new(SERVICE, &targets).with_row());
+                    b.iter(|| ServiceRing::new(SERVICE, &targets).with_buckets());
                 },
             );
         }
@@ -157,7 +157,7 @@
     group.finish();
 }
 
-/// A service text and list of this many services with six targets each.
+/// Builds a view of this many services with six targets each.
 fn fleet_view(services: u32) -> FleetView {
     let mut text = String::new();
     let mut list = InstanceList::default();
@@ -181,7 +181,7 @@
     FleetView::new(ConfigRevision(1), Arc::new(text), &list)
 }
 
-/// What a change of the view costs, when one target of one service has changed.
+/// Measures the cost of a view change in which one target of one service changed.
 fn bench_changes(bench: &mut Criterion) {
     let mut group = bench.benchmark_group("view change");
     group.sample_size(10);
@@ -195,14 +195,14 @@
             b.iter(|| RoutingTable::from_view(&second, &table));
         });
         group.bench_function(BenchmarkId::new("look for rows to make", services), |b| {
-            b.iter(|| table.tend(usize::MAX));
+            b.iter(|| table.refresh_buckets(usize::MAX));
         });
         let mut tracker = AbsenceTracker::new(Duration::from_secs(60));
         group.bench_function(BenchmarkId::new("one target", services), |b| {
             b.iter(|| {
                 let change = ViewChange::between(&first, &second);
-                tracker.note(&first, &second, &change, Moment::ZERO);
-                table.follow(&second, &change)
+                tracker.record(&first, &second, &change, Moment::ZERO);
+                table.with_change(&second, &change)
             });
         });
     }
--- a/crates/routing/src/builder.rs
+++ b/crates/routing/src/builder.rs
@@ -1,4 +1,4 @@
-//! Making a routing table from services, one after the other.
+//! Builds a routing table service by service.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -9,13 +9,12 @@
 use crate::directory::AgentDirectory;
 use crate::hasher::MixMap;
 use crate::ring::RingTarget;
-use crate::table::{RoutingTable, SHARDS, ServiceEntry, ServiceShard, UNNAMED, shard_of};
+use crate::table::{NO_POSITION, RoutingTable, SHARDS, ServiceEntry, ServiceShard, shard_of};
 
-/// Makes a whole [`RoutingTable`], reusing the rings of an earlier one whose targets are the
-/// same.
+/// Builds a [`RoutingTable`] and reuses the rings of a previous table whose targets are unchanged.
 #[derive(Debug)]
 pub struct TableBuilder<'a> {
-    earlier: &'a RoutingTable,
+    previous: &'a RoutingTable,
     revision: ConfigRevision,
     text: Arc<ServiceText>,
     addresses: MixMap<SocketAddrV4, ServiceId>,
@@ -24,16 +23,16 @@
 }
 
 impl<'a> TableBuilder<'a> {
-    /// An empty table of a configuration's revision, to follow on `earlier`.
+    /// Starts a table for a configuration revision that replaces `previous`.
     #[must_use]
-    pub fn new(revision: ConfigRevision, earlier: &'a RoutingTable) -> Self {
+    pub fn new(revision: ConfigRevision, previous: &'a RoutingTable) -> Self {
         Self {
-            earlier,
+            previous,
             revision,
             text: Arc::default(),
             addresses: MixMap::default(),
             shards: vec![ServiceShard::default(); SHARDS],
-            directory: earlier.directory.clone(),
+            directory: previous.directory.clone(),
         }
     }
 
@@ -45,19 +44,19 @@
         addresses: impl IntoIterator<Item = SocketAddrV4>,
         targets: &[RingTarget],
     ) -> Self {
-        let earlier = self.earlier.entry(service);
-        let entry = match earlier {
-            Some(held) if held.ring.is_of(targets) => ServiceEntry {
-                position: UNNAMED,
-                ring: Arc::clone(&held.ring),
+        let previous = self.previous.entry(service);
+        let entry = match previous {
+            Some(entry) if entry.ring.has_targets(targets) => ServiceEntry {
+                position: NO_POSITION,
+                ring: Arc::clone(&entry.ring),
             },
-            _ => self.change_targets(earlier, service, targets),
+            _ => self.change_targets(previous, service, targets),
         };
         self.shards[shard_of(service)].insert(service, entry);
         self.with_addresses(service, addresses)
     }
 
-    /// Names the services that were added and that this text names.
+    /// Sets the service names from this text, for services that have already been added.
     #[must_use]
     pub fn with_text(mut self, text: &Arc<ServiceText>) -> Self {
         for (position, service) in (0..).zip(&text.services) {
@@ -70,7 +69,7 @@
         self
     }
 
-    /// Adds an address of a service whose targets this process does not need.
+    /// Adds addresses of a service without its targets.
     #[must_use]
     pub(crate) fn with_addresses(
         mut self,
@@ -83,10 +82,10 @@
         self
     }
 
-    /// The table.
+    /// Builds the table and removes agents of services that were not added from the directory.
     #[must_use]
     pub fn build(mut self) -> RoutingTable {
-        for (service, ring) in self.earlier.rings() {
+        for (service, ring) in self.previous.rings() {
             if !self.shards[shard_of(service)].contains_key(&service) {
                 self.directory.replace(ring.targets(), &[]);
             }
@@ -108,13 +107,13 @@
 
     fn change_targets(
         &mut self,
-        earlier: Option<&ServiceEntry>,
+        previous: Option<&ServiceEntry>,
         service: ServiceId,
         targets: &[RingTarget],
     ) -> ServiceEntry {
-        let mut entry = ServiceEntry::follow(earlier, service, targets);
-        entry.position = UNNAMED;
-        let before = earlier.map_or(&[][..], |held| held.ring.targets());
+        let mut entry = ServiceEntry::with_targets(previous, service, targets);
+        entry.position = NO_POSITION;
+        let before = previous.map_or(&[][..], |entry| entry.ring.targets());
         self.directory.replace(before, entry.ring.targets());
         entry
     }
--- a/crates/routing/src/directory.rs
+++ b/crates/routing/src/directory.rs
@@ -1,9 +1,9 @@
-//! All agents that are listed, for whatever service.
+//! The set of all listed agents of all services.
 //!
-//! What goes wrong without it: an instance passes from one service to another, and a flow that
-//! it held for the former one is sent there still. The agent refuses it, but a packet of one
-//! service has then reached a process of another. A balancer sees it beforehand: the agent is
-//! listed, but not for the token's service.
+//! When an instance moves from one service to another, a flow that it held for the former service
+//! would otherwise still be forwarded to it. The agent refuses the packet, but a packet of one
+//! service has then reached a process of another. With the directory, a balancer detects this
+//! beforehand: the agent is listed, but not for the token's service.
 
 use std::sync::Arc;
 
@@ -12,13 +12,13 @@
 use crate::hasher::mix;
 use crate::ring::RingTarget;
 
-/// Parts that are shared or copied as one.
+/// The number of shards. Each is shared between tables or copied as a whole.
 const SHARDS: usize = 256;
 
-/// The agents, six bytes each.
+/// A sharded set of agent addresses, six bytes each.
 #[derive(Clone, Debug)]
 pub(crate) struct AgentDirectory {
-    /// Invariant: [`SHARDS`] long, each sorted; an agent that two services list stands twice.
+    /// Invariant: [`SHARDS`] long, each shard sorted. An agent that two services list appears twice.
     shards: Box<[Arc<Vec<AgentAddress>>]>,
 }
 
@@ -37,33 +37,33 @@
 
     fn insert(&mut self, agent: AgentAddress) {
         let shard = Arc::make_mut(&mut self.shards[shard_of(agent)]);
-        let place = shard.partition_point(|other| *other < agent);
-        shard.insert(place, agent);
+        let index = shard.partition_point(|other| *other < agent);
+        shard.insert(index, agent);
     }
 
     fn remove(&mut self, agent: AgentAddress) {
         let shard = Arc::make_mut(&mut self.shards[shard_of(agent)]);
-        if let Ok(place) = shard.binary_search(&agent) {
-            shard.remove(place);
+        if let Ok(index) = shard.binary_search(&agent) {
+            shard.remove(index);
         }
     }
 
-    /// Takes a service's former agents out and its new ones in.
+    /// Replaces a service's previous agents with its new ones.
     pub(crate) fn replace(&mut self, before: &[RingTarget], after: &[RingTarget]) {
-        let (former, listed) = (agents_of(before), agents_of(after));
-        for agent in &former {
-            if listed.binary_search(agent).is_err() {
+        let (previous, current) = (agents_of(before), agents_of(after));
+        for agent in &previous {
+            if current.binary_search(agent).is_err() {
                 self.remove(*agent);
             }
         }
-        for agent in &listed {
-            if former.binary_search(agent).is_err() {
+        for agent in &current {
+            if previous.binary_search(agent).is_err() {
                 self.insert(*agent);
             }
         }
     }
 
-    /// Gives back what the shards reserve beyond their length.
+    /// Releases the unused capacity of shards that are not shared.
     pub(crate) fn shrink(&mut self) {
         for shard in &mut self.shards {
             if let Some(shard) = Arc::get_mut(shard) {
--- a/crates/routing/src/hasher.rs
+++ b/crates/routing/src/hasher.rs
@@ -1,18 +1,18 @@
-//! A fast hash for the tables of the packet path.
+//! A fast, non-cryptographic hasher for the tables of the packet path.
 //!
-//! Their keys come from the operators' text and the platform's list, never from a caller, so
-//! nobody can aim keys at one bucket, and the standard hasher's guard against that is not needed.
+//! Their keys come from the operators' configuration and the platform's list, never from a caller,
+//! so the standard hasher's protection against chosen collisions is not needed.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// A map whose keys no caller chooses.
+/// A hash map whose keys callers cannot choose.
 pub(crate) type MixMap<K, V> = HashMap<K, V, BuildHasherDefault<MixHasher>>;
 
-/// A set whose members no caller chooses.
+/// A hash set whose members callers cannot choose.
 pub(crate) type MixSet<K> = HashSet<K, BuildHasherDefault<MixHasher>>;
 
-/// Spreads every bit of `value` over all bits of the result (the finalizer of splitmix64).
+/// The finalizer of SplitMix64: every bit of `value` affects all bits of the result.
 pub(crate) fn mix(value: u64) -> u64 {
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ value >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -21,10 +21,10 @@
 
 const ROTATION: u32 = 23;
 
-/// An odd number whose bits look random: 2^64 over the golden ratio.
+/// An odd number with well-distributed bits: 2^64 divided by the golden ratio.
 pub(crate) const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Mixes eight bytes at a time, lightly, and all of it once at the end.
+/// Combines eight bytes at a time with a cheap step and applies [`mix`] once at the end.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MixHasher(u64);
 
--- a/crates/routing/src/packet.rs
+++ b/crates/routing/src/packet.rs
@@ -1,74 +1,74 @@
-//! A caller's packet as the routing decision sees it.
+//! The parts of a caller's packet that the routing decision uses.
 
 use std::net::SocketAddrV4;
 
 use lovagelatch_keys::{FleetKeys, FlowToken, TokenError};
 use thiserror::Error;
 
-use crate::header::{HeaderFault, HeaderForm, QuicHeader};
+use crate::header::{HeaderError, HeaderForm, QuicHeader};
 
-/// The smallest datagram that may open a flow, in bytes (RFC 9000, section 14.1).
+/// The minimum size of a datagram that may open a flow, in bytes (RFC 9000, section 14.1).
 pub const MIN_INITIAL_BYTES: usize = 1_200;
 
-/// The shortest connection ID that a client may choose for its first packet, in bytes
+/// The minimum length of the connection ID that a client chooses for its first packet, in bytes
 /// (RFC 9000, section 7.2).
-const MIN_CHOSEN_ID_BYTES: usize = 8;
+const MIN_CLIENT_ID_BYTES: usize = 8;
 
-/// What the routing decision needs to know of a packet, whatever its protocol.
+/// The parts of a packet that the routing decision uses, independent of its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketView<'a> {
-    /// Where the caller sent it.
+    /// The destination address that the caller sent the packet to.
     pub service_address: SocketAddrV4,
-    /// The same bytes in every packet of a flow that carries no token yet. For QUIC: the
-    /// destination connection ID.
+    /// Bytes that are the same in all packets of a flow that do not carry a token yet. For QUIC:
+    /// the destination connection ID.
     pub flow_key: &'a [u8],
-    /// The token it carries, when it carries a genuine one.
+    /// The packet's flow token, if it carries a valid one.
     pub token: Option<FlowToken>,
 }
 
-/// Why a datagram is no packet that can be routed.
+/// Why a datagram cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum PacketFault {
-    /// Its header is not one that a caller may send.
+pub enum PacketError {
+    /// The QUIC header is not one that a caller may send.
     #[error(transparent)]
-    Header(#[from] HeaderFault),
-    /// It belongs to an open flow, but its connection ID is no valid token.
+    Header(#[from] HeaderError),
+    /// The packet belongs to an open flow, but its connection ID is not a valid token.
     #[error(transparent)]
     Token(#[from] TokenError),
-    /// It would open a flow, but is too small to; answering it would amplify an attack with a
-    /// forged source address.
-    #[error("a first datagram of {length} bytes, below {MIN_INITIAL_BYTES}")]
+    /// The datagram is too small to open a flow. Answering it would allow amplification attacks
+    /// with a spoofed source address.
+    #[error("first datagram of a flow has {length} bytes, fewer than {MIN_INITIAL_BYTES}")]
     SmallInitial {
-        /// Its length in bytes.
+        /// The length of the datagram in bytes.
         length: usize,
     },
-    /// It would open a flow with a connection ID too short to be unpredictable.
-    #[error("a first connection ID of {length} bytes, below {MIN_CHOSEN_ID_BYTES}")]
+    /// The connection ID is too short to open a flow: it must be unpredictable.
+    #[error("client-chosen connection ID has {length} bytes, fewer than {MIN_CLIENT_ID_BYTES}")]
     ShortId {
-        /// Its length in bytes.
+        /// The length of the connection ID in bytes.
         length: usize,
     },
 }
 
 impl<'a> PacketView<'a> {
-    /// Reads a QUIC datagram that a caller sent to `service_address`.
+    /// Parses a QUIC datagram that a caller sent to `service_address`.
     ///
-    /// A client may choose a first connection ID as long as a token. It is taken for a token
-    /// only when its tag verifies; otherwise it is a flow key like any other. Packets that are
-    /// sent only after the agent's first answer must carry a token.
+    /// A client may choose a first connection ID that is as long as a token. It is treated as a
+    /// token only if its tag verifies; otherwise it is an ordinary flow key. Packets of types that
+    /// are sent only after the agent's first answer must carry a token.
     ///
     /// # Errors
     ///
-    /// A [`PacketFault`] when the datagram cannot be routed.
+    /// Returns a [`PacketError`] when the datagram cannot be routed.
     pub fn read(
         datagram: &'a [u8],
         service_address: SocketAddrV4,
         keys: &FleetKeys,
-    ) -> Result<Self, PacketFault> {
+    ) -> Result<Self, PacketError> {
         let header = QuicHeader::parse(datagram)?;
         let token = FlowToken::open(header.destination, keys);
         if let Err(error) = token {
-            check_opening(&header, datagram.len(), error)?;
+            check_first_packet(&header, datagram.len(), error)?;
         }
         Ok(Self {
             service_address,
@@ -78,34 +78,34 @@
     }
 }
 
-/// Whether a packet without a token may open a flow.
-fn check_opening(
+/// Checks that a packet without a token may open a flow.
+fn check_first_packet(
     header: &QuicHeader<'_>,
     length: usize,
     error: TokenError,
-) -> Result<(), PacketFault> {
+) -> Result<(), PacketError> {
     match header.form {
         HeaderForm::Handshake | HeaderForm::Short => Err(error.into()),
-        // Early data may stand in a datagram of its own, which need not be padded.
-        HeaderForm::ZeroRtt => check_chosen_id(header.destination),
+        // Early data may be sent in a separate datagram, which needs no padding.
+        HeaderForm::ZeroRtt => check_client_id(header.destination),
         HeaderForm::Initial => {
             check_size(length)?;
-            check_chosen_id(header.destination)
+            check_client_id(header.destination)
         }
         HeaderForm::OtherVersion { .. } => check_size(length),
     }
 }
 
-fn check_size(length: usize) -> Result<(), PacketFault> {
+fn check_size(length: usize) -> Result<(), PacketError> {
     if length < MIN_INITIAL_BYTES {
-        return Err(PacketFault::SmallInitial { length });
+        return Err(PacketError::SmallInitial { length });
     }
     Ok(())
 }
 
-fn check_chosen_id(id: &[u8]) -> Result<(), PacketFault> {
-    if id.len() < MIN_CHOSEN_ID_BYTES {
-        return Err(PacketFault::ShortId { length: id.len() });
+fn check_client_id(id: &[u8]) -> Result<(), PacketError> {
+    if id.len() < MIN_CLIENT_ID_BYTES {
+        return Err(PacketError::ShortId { length: id.len() });
     }
     Ok(())
 }
--- a/crates/routing/src/ring.rs
+++ b/crates/routing/src/ring.rs
@@ -1,20 +1,20 @@
 //! Weighted rendezvous hashing over the targets of one service.
 //!
-//! Every target gets a score from the flow key and its own address, and the best score wins.
-//! Two processes with equal views agree without talking, and when a target goes, only the
-//! flows that it would have won move. A weight `w` divides `-log(u)` of the uniform score `u`,
-//! so that a target with twice the slots wins twice as often.
+//! Each target gets a score from the flow key and its address, and the best score wins. Two
+//! processes with equal views agree without communication, and when a target is removed, only the
+//! flows that it won move. The weight `w` divides `-log(u)` of the uniform score `u`, so a target
+//! with twice the slots wins twice as often.
 //!
-//! The scan costs a few nanoseconds a target. Above [`BUCKET_BOUND`] targets the flow key is
-//! first cut down to one of a few thousand *buckets*, and all flows of a bucket have one winner.
-//! While a service gets new flows, the winners are kept in a row of bytes, so that a flow costs
-//! one lookup whatever the number of targets. The row only remembers what a scan would find:
-//! with or without it the same agent wins.
+//! The scan costs a few nanoseconds per target. Above [`MAX_SCANNED_TARGETS`] targets, the flow key
+//! is first reduced to one of a few thousand *buckets*, and all flows of a bucket have the same
+//! winner. While a service receives new flows, the winners are cached in a *bucket table*, so a
+//! flow costs one lookup regardless of the number of targets. The bucket table only caches the
+//! result of the scan: the same agent wins with or without it.
 //!
 //! ```text
-//! flow key --up to BUCKET_BOUND targets------> scan of the targets
-//!         \--more--> bucket --row kept-------> its winner
-//!                          \--row not kept---> scan of the targets for the bucket's key
+//! flow key --up to MAX_SCANNED_TARGETS--> scan of the targets
+//!         \--more--> bucket --bucket table-----> its winner
+//!                          \--no bucket table--> scan of the targets for the bucket's key
 //! ```
 
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -23,50 +23,51 @@
 use lovagelatch_membership::TargetStanding;
 use smallvec::SmallVec;
 
-use crate::buckets::{BucketRow, bucket_count, bucket_key, row_bytes};
+use crate::buckets::{BucketTable, bucket_bytes, bucket_count, bucket_key};
 use crate::score::{scan_costs, scan_scores};
 
-/// Up to this many targets are scanned for each new flow; with more, buckets are used.
-pub const BUCKET_BOUND: usize = 12;
+/// The maximum number of targets that are scanned for each new flow. With more, buckets are used.
+pub const MAX_SCANNED_TARGETS: usize = 12;
 
-/// Up to this many targets with equal slots are scanned quickly enough to need no row.
-const SCAN_BOUND: usize = 24;
+/// Up to this many targets with equal slots are scanned fast enough to need no bucket table.
+const MAX_EQUAL_SCAN: usize = 24;
 
-/// From this many targets on, positions no longer fit a bucket; no service comes near it.
-const MAX_BUCKETED: usize = 1 << u16::BITS;
+/// From this many targets on, positions no longer fit in a bucket of two bytes. Services are far
+/// smaller.
+const BUCKETED_TARGET_LIMIT: usize = 1 << u16::BITS;
 
-/// How many calls of `RoutingTable::tend` a row of buckets outlives the last new flow by.
-pub(crate) const IDLE_LIMIT: u8 = 30;
+/// A bucket table is dropped after this many calls of `RoutingTable::refresh_buckets` without a
+/// new flow.
+pub(crate) const MAX_IDLE_TICKS: u8 = 30;
 
-/// One target that may be given new flows.
+/// A target that may receive new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingTarget {
-    /// Its agent.
+    /// The agent beside the target.
     pub agent: AgentAddress,
-    /// Its slots. Invariant: at least 1 once in a ring.
+    /// The target's slots, which are its weight. Invariant: at least 1 once in a ring.
     pub slots: u16,
-    /// What this process holds of it.
+    /// The target's standing in this process's view.
     pub standing: TargetStanding,
 }
 
-/// The targets of one service, and those among them that new flows are spread over.
+/// The targets of one service and the candidates among them for new flows.
 ///
-/// They are the live ones; when none is, the suspected ones, since a suspicion may be wrong;
-/// and leaving ones only when there is nothing else.
+/// The candidates are the live targets. Without live targets, they are the suspected ones, because
+/// a suspicion may be wrong; leaving targets are used only when there are no others.
 #[derive(Debug)]
 pub struct ServiceRing {
     service: ServiceId,
-    /// Invariant: sorted by standing, then agent, without repetition.
+    /// Invariant: sorted by standing, then agent, without duplicates.
     targets: Box<[RingTarget]>,
-    /// How many at the start of `targets` share the best standing.
+    /// The number of targets at the start of `targets` that share the best standing.
     candidates: u32,
-    /// Invariant: all candidates' weights are equal, so scores can be compared without a
-    /// logarithm.
+    /// Whether all candidates have the same weight, so scores can be compared without a logarithm.
     equal_weights: bool,
-    /// `None`, or the winners of all buckets.
-    row: Option<Box<BucketRow>>,
-    /// Calls of `tend` since the last new flow.
-    idle: AtomicU8,
+    /// The winners of all buckets, if cached.
+    buckets: Option<Box<BucketTable>>,
+    /// Calls of `refresh_buckets` since the last new flow, at most [`MAX_IDLE_TICKS`].
+    idle_ticks: AtomicU8,
 }
 
 impl PartialEq for ServiceRing {
@@ -76,10 +77,10 @@
 }
 
 impl ServiceRing {
-    /// The ring of a service with these targets, in any order, without a row of buckets.
+    /// Creates the ring of a service with these targets, in any order, without a bucket table.
     #[must_use]
     pub fn new(service: ServiceId, targets: &[RingTarget]) -> Self {
-        let targets = in_order(targets);
+        let targets = normalized(targets);
         let standing = targets.first().map(|target| target.standing);
         let candidates = targets.partition_point(|target| Some(target.standing) == standing);
         let mut pairs = targets[..candidates].windows(2);
@@ -89,54 +90,58 @@
             targets,
             candidates: u32::try_from(candidates).unwrap_or(u32::MAX),
             equal_weights,
-            row: None,
-            idle: AtomicU8::new(IDLE_LIMIT),
+            buckets: None,
+            idle_ticks: AtomicU8::new(MAX_IDLE_TICKS),
         }
     }
 
-    /// The same ring with the winners of its buckets, if it has buckets. Costs a scan for each.
+    /// Adds a bucket table if the ring is large enough to use buckets. Costs one scan per bucket.
     #[must_use]
-    pub fn with_row(mut self) -> Self {
-        if let Some(count) = self.buckets() {
+    pub fn with_buckets(mut self) -> Self {
+        if let Some(count) = self.bucket_count() {
             let winner = |bucket| self.scan(bucket_key(bucket)).unwrap_or_default();
-            self.row = Some(Box::new(BucketRow::new(count, self.len(), winner)));
+            self.buckets = Some(Box::new(BucketTable::new(count, self.len(), winner)));
         }
         self
     }
 
-    /// The same ring with or without its row, used as lately as this one.
-    pub(crate) fn copy(&self, keep_row: bool) -> Self {
+    /// Rebuilds the ring with or without a bucket table and keeps its idle count.
+    pub(crate) fn rebuilt(&self, with_buckets: bool) -> Self {
         let ring = Self::new(self.service, &self.targets);
-        ring.idle.store(self.idle(), Ordering::Relaxed);
-        if keep_row { ring.with_row() } else { ring }
+        ring.idle_ticks.store(self.idle_ticks(), Ordering::Relaxed);
+        if with_buckets {
+            ring.with_buckets()
+        } else {
+            ring
+        }
     }
 
-    /// The service.
+    /// Returns the service whose targets these are.
     #[must_use]
     pub fn service(&self) -> ServiceId {
         self.service
     }
 
-    /// The standing that the targets share which new flows are spread over.
+    /// Returns the standing of the candidates for new flows.
     #[must_use]
     pub fn standing(&self) -> TargetStanding {
         let first = self.targets.first();
         first.map_or(TargetStanding::Live, |target| target.standing)
     }
 
-    /// How many targets new flows are spread over.
+    /// Returns the number of candidates for new flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.candidates as usize
     }
 
-    /// Whether there is no target at all.
+    /// Returns whether the service has no targets.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// What is held of the target with this agent, when the service has one.
+    /// Returns the standing of the target with this agent, if the service has one.
     #[must_use]
     pub fn standing_of(&self, agent: AgentAddress) -> Option<TargetStanding> {
         let (candidates, rest) = self.targets.split_at(self.len());
@@ -147,29 +152,30 @@
         found.map(|target| target.standing)
     }
 
-    /// The agent for a flow whose key hashes to `key`. Allocates nothing.
+    /// Returns the agent for a flow whose key hashes to `key`. Allocates nothing.
     #[must_use]
     pub fn pick(&self, key: u64) -> Option<AgentAddress> {
-        self.note_use();
-        let position = match self.buckets() {
-            Some(count) => self.find_winner(bucket_of(key, count))?,
+        self.record_use();
+        let position = match self.bucket_count() {
+            Some(count) => self.bucket_winner(bucket_of(key, count))?,
             None => self.scan(key)?,
         };
         self.targets.get(position).map(|found| found.agent)
     }
 
-    /// The best `count` agents for that flow, best first; the first is what `pick` returns.
+    /// Returns the best `count` agents for a flow, best first. The first is the one that `pick`
+    /// returns.
     #[must_use]
-    pub fn order(&self, key: u64, count: usize) -> SmallVec<[AgentAddress; 4]> {
+    pub fn ranked(&self, key: u64, count: usize) -> SmallVec<[AgentAddress; 4]> {
         let bucketed = |count| bucket_key(bucket_of(key, count));
-        let key = self.buckets().map_or(key, bucketed);
+        let key = self.bucket_count().map_or(key, bucketed);
         let mut best: SmallVec<[(f64, AgentAddress); 4]> = SmallVec::new();
         for candidate in &self.targets[..self.len()] {
             let cost = candidate.cost(key);
-            let place = best.partition_point(|(other, _)| *other <= cost);
-            if place < count {
+            let index = best.partition_point(|(other, _)| *other <= cost);
+            if index < count {
                 best.truncate(count - 1);
-                best.insert(place, (cost, candidate.agent));
+                best.insert(index, (cost, candidate.agent));
             }
         }
         best.into_iter().map(|(_, agent)| agent).collect()
@@ -179,53 +185,56 @@
         &self.targets
     }
 
-    /// Whether these targets, in any order, are this ring's.
-    pub(crate) fn is_of(&self, targets: &[RingTarget]) -> bool {
-        targets.len() == self.targets.len() && *in_order(targets) == *self.targets
+    /// Returns whether the ring consists of exactly these targets, in any order.
+    pub(crate) fn has_targets(&self, targets: &[RingTarget]) -> bool {
+        targets.len() == self.targets.len() && *normalized(targets) == *self.targets
     }
 
-    pub(crate) fn has_row(&self) -> bool {
-        self.row.is_some()
+    pub(crate) fn has_buckets(&self) -> bool {
+        self.buckets.is_some()
     }
 
-    /// Bytes of the row that makes its picks quick; 0 when they are so without one.
-    pub(crate) fn row_bytes(&self) -> usize {
-        if self.equal_weights && self.len() <= SCAN_BOUND {
+    /// Returns the size of the ring's bucket table in bytes, or 0 when picks are fast without one.
+    pub(crate) fn bucket_bytes(&self) -> usize {
+        if self.equal_weights && self.len() <= MAX_EQUAL_SCAN {
             return 0;
         }
-        self.buckets()
-            .map_or(0, |count| row_bytes(count, self.len()))
+        self.bucket_count()
+            .map_or(0, |count| bucket_bytes(count, self.len()))
     }
 
-    /// Calls of `tend` since the last new flow, up to [`IDLE_LIMIT`].
-    pub(crate) fn idle(&self) -> u8 {
-        self.idle.load(Ordering::Relaxed)
+    pub(crate) fn idle_ticks(&self) -> u8 {
+        self.idle_ticks.load(Ordering::Relaxed)
     }
 
-    /// Notes one more call. A new flow at the same moment may go unnoticed; the next one is not.
-    pub(crate) fn grow_idle(&self) {
-        let idle = self.idle();
-        if idle < IDLE_LIMIT {
-            self.idle.store(idle + 1, Ordering::Relaxed);
+    /// Counts a call of `refresh_buckets`. A new flow at the same moment may be missed; the next
+    /// one resets the count.
+    pub(crate) fn increment_idle(&self) {
+        let idle_ticks = self.idle_ticks();
+        if idle_ticks < MAX_IDLE_TICKS {
+            self.idle_ticks.store(idle_ticks + 1, Ordering::Relaxed);
         }
     }
 
-    /// Writes only when there is something to say, so that packet threads do not take the cache
-    /// line from one another for every flow.
-    fn note_use(&self) {
-        if self.idle() != 0 {
-            self.idle.store(0, Ordering::Relaxed);
+    /// Writes only when the value changes, to avoid contention between packet threads on the cache
+    /// line for every flow.
+    fn record_use(&self) {
+        if self.idle_ticks() != 0 {
+            self.idle_ticks.store(0, Ordering::Relaxed);
         }
     }
 
-    fn buckets(&self) -> Option<usize> {
-        let bucketed = BUCKET_BOUND < self.len() && self.len() < MAX_BUCKETED;
+    fn bucket_count(&self) -> Option<usize> {
+        let bucketed = MAX_SCANNED_TARGETS < self.len() && self.len() < BUCKETED_TARGET_LIMIT;
         bucketed.then(|| bucket_count(self.len()))
     }
 
-    fn find_winner(&self, bucket: usize) -> Option<usize> {
-        let kept = self.row.as_ref().and_then(|row| row.get(bucket));
-        kept.or_else(|| self.scan(bucket_key(bucket)))
+    fn bucket_winner(&self, bucket: usize) -> Option<usize> {
+        let cached = self
+            .buckets
+            .as_ref()
+            .and_then(|buckets| buckets.get(bucket));
+        cached.or_else(|| self.scan(bucket_key(bucket)))
     }
 
     fn scan(&self, key: u64) -> Option<usize> {
@@ -238,7 +247,7 @@
     }
 }
 
-fn in_order(targets: &[RingTarget]) -> Box<[RingTarget]> {
+fn normalized(targets: &[RingTarget]) -> Box<[RingTarget]> {
     let mut ordered = targets.to_vec();
     for target in &mut ordered {
         target.slots = target.slots.max(1);
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The decision for one packet at a balancer.
+//! The routing decision for a packet at a balancer.
 
 use std::hash::Hasher;
 
@@ -13,42 +13,43 @@
 use crate::ring::ServiceRing;
 use crate::table::RoutingTable;
 
-/// Fixed keys of the hash of a flow key: every process must compute the same number.
-const FLOW_KEYS: (u64, u64) = (0x0066_6c6f_7773, 0x6b65_7973);
+/// The default seed of the flow key hash. It is fixed because all processes must compute the same
+/// hash.
+const FLOW_HASH_SEED: (u64, u64) = (0x0066_6c6f_7773, 0x6b65_7973);
 
-/// What to do with a packet.
+/// What a balancer does with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// It belongs to an open flow: forward it to the agent that its token names.
+    /// The packet belongs to an open flow: forward it to the agent that its token names.
     Forward {
-        /// The agent.
+        /// The agent named by the token.
         agent: AgentAddress,
         /// The service that the flow was opened for.
         service: ServiceId,
     },
-    /// It opens a flow: forward it to the agent chosen for it.
+    /// The packet opens a flow: forward it to the agent chosen by rendezvous hashing.
     NewFlow {
-        /// The agent.
+        /// The chosen agent.
         agent: AgentAddress,
-        /// The service that the address leads to.
+        /// The service at the destination address.
         service: ServiceId,
-        /// The standing of the targets that were chosen from.
+        /// The standing of the candidate targets.
         standing: TargetStanding,
     },
-    /// It belongs to a flow whose agent is gone: forward it to another agent of the service,
-    /// which shares the reset key and answers with a stateless reset, so that the caller opens
-    /// a new flow at once instead of waiting for a timeout.
+    /// The packet belongs to a flow whose agent is gone: forward it to another agent of the
+    /// service. That agent shares the reset key and answers with a stateless reset, so the caller
+    /// opens a new flow at once instead of waiting for a timeout.
     Reset {
-        /// The agent that answers.
+        /// The agent that answers with the reset.
         agent: AgentAddress,
         /// The service that the flow was opened for.
         service: ServiceId,
         /// The agent that is gone.
         gone: AgentAddress,
     },
-    /// Drop it.
+    /// Drop the packet.
     Refuse {
-        /// Why.
+        /// Why the packet is dropped.
         reason: RouteRefusal,
     },
 }
@@ -56,37 +57,37 @@
 /// Why a packet is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum RouteRefusal {
-    /// The view knows no service at the address.
+    /// The view has no service at the destination address.
     #[error("no service at this address")]
     UnknownAddress,
-    /// The flow was opened for another service than the address leads to, or than the agent at
-    /// which the packet arrived serves.
-    #[error("the flow belongs to another service than the address")]
+    /// The flow was opened for a service other than the one at the destination address or the one
+    /// that the receiving agent serves.
+    #[error("flow belongs to a service other than the one at its address")]
     WrongService {
         /// The service that the flow was opened for.
         flow: ServiceId,
-        /// The service that the address leads to.
+        /// The service at the destination address.
         address: ServiceId,
     },
-    /// The instance that held the flow has passed to another service: its packets must not reach
-    /// that one.
+    /// The instance that held the flow has moved to another service, which must not receive the
+    /// flow's packets.
     #[error("the agent that held the flow is listed for another service")]
-    AgentElsewhere {
+    AgentReassigned {
         /// The service that the flow was opened for.
         flow: ServiceId,
     },
-    /// The view knows no target of the service.
+    /// The view has no target of the service.
     #[error("no target of the service")]
     NoTarget {
-        /// The service.
+        /// The service without targets.
         service: ServiceId,
     },
 }
 
-/// Decides where packets go.
+/// Decides where packets are forwarded.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowRouter {
-    keys: (u64, u64),
+    seed: (u64, u64),
 }
 
 impl Default for FlowRouter {
@@ -96,27 +97,30 @@
 }
 
 impl FlowRouter {
-    /// A router that agrees with every other one made this way.
+    /// Creates a router with the default seed. All such routers agree on placement.
     #[must_use]
     pub fn new() -> Self {
-        Self { keys: FLOW_KEYS }
+        Self {
+            seed: FLOW_HASH_SEED,
+        }
     }
 
-    /// Hashes flow keys with another seed; routers agree only when their seeds are equal.
+    /// Sets the seed of the flow key hash. Routers agree on placement only if their seeds are equal.
     #[must_use]
     pub fn with_seed(mut self, seed: (u64, u64)) -> Self {
-        self.keys = seed;
+        self.seed = seed;
         self
     }
 
-    /// A router that agrees with every other one that holds the same oldest valid key. A caller,
-    /// who does not know the key, cannot choose connection IDs that lead to one agent.
+    /// Creates a router whose seed is derived from the oldest valid key. Routers with the same
+    /// oldest key agree on placement. Callers do not know the key, so they cannot choose connection
+    /// IDs that all lead to one agent.
     #[must_use]
     pub fn with_keys(keys: &FleetKeys) -> Self {
         Self::new().with_seed(keys.placement_seed())
     }
 
-    /// Decides where a packet goes. Allocates nothing.
+    /// Decides where a packet is forwarded. Allocates nothing.
     #[must_use]
     pub fn route(&self, packet: &PacketView<'_>, table: &RoutingTable) -> RouteDecision {
         match packet.token {
@@ -125,10 +129,10 @@
         }
     }
 
-    /// The first `count` agents for a packet without a token, best first. The first is where
-    /// `route` sends it; the second takes it when the first is over its fair share.
+    /// Returns the best `count` agents for a packet without a token, best first. `route` chooses
+    /// the first; the second accepts the flow when the first is over its fair share.
     #[must_use]
-    pub fn rendezvous_order(
+    pub fn ranked_agents(
         &self,
         packet: &PacketView<'_>,
         table: &RoutingTable,
@@ -136,11 +140,11 @@
     ) -> SmallVec<[AgentAddress; 4]> {
         let ring = table.ring_at(packet.service_address);
         let key = self.hash(packet.flow_key);
-        ring.map_or_else(SmallVec::new, |ring| ring.order(key, count))
+        ring.map_or_else(SmallVec::new, |ring| ring.ranked(key, count))
     }
 
-    /// The token alone says which service the flow is for. What the address leads to now does
-    /// not matter: it may have passed to another service while the flow stays open.
+    /// The token alone determines the flow's service. The service at the destination address is
+    /// ignored: the address may have moved to another service while the flow was open.
     fn route_token(
         &self,
         packet: &PacketView<'_>,
@@ -150,8 +154,8 @@
         if table.is_gone(token.agent, token.service) {
             return self.reset(packet, token, table.ring_of(token.service));
         }
-        if table.is_elsewhere(token.agent, token.service) {
-            let reason = RouteRefusal::AgentElsewhere {
+        if table.is_reassigned(token.agent, token.service) {
+            let reason = RouteRefusal::AgentReassigned {
                 flow: token.service,
             };
             return RouteDecision::Refuse { reason };
@@ -162,15 +166,15 @@
         }
     }
 
-    /// Decides about a packet that this process had forwarded to the agent its token names, and
-    /// whose copy came back since nobody listens there. `None` when its flow is not that
-    /// agent's.
+    /// Decides about a packet that this process forwarded to the agent named by its token and that
+    /// was returned because no process listens there. Returns `None` when the flow does not belong
+    /// to that agent.
     ///
-    /// The agent had ended when the packet came to its address, so whoever listens there later
-    /// does not hold the flow. Nothing needs to be remembered, and no other packet is judged by
-    /// it. Allocates nothing.
+    /// The agent had already ended when the packet reached its address, so a process that listens
+    /// there later does not hold the flow. The decision needs no state and affects no other packet.
+    /// Allocates nothing.
     #[must_use]
-    pub fn return_packet(
+    pub fn route_returned(
         &self,
         packet: &PacketView<'_>,
         from: AgentAddress,
@@ -179,7 +183,7 @@
         let token = packet.token.filter(|token| token.agent == from)?;
         let service = token.service;
         let key = self.hash(packet.flow_key);
-        let order = table.ring_of(service).map(|ring| ring.order(key, 2));
+        let order = table.ring_of(service).map(|ring| ring.ranked(key, 2));
         let other = order.into_iter().flatten().find(|agent| *agent != from);
         let refusal = RouteDecision::Refuse {
             reason: RouteRefusal::NoTarget { service },
@@ -229,7 +233,7 @@
     }
 
     pub(crate) fn hash(&self, flow_key: &[u8]) -> u64 {
-        let mut hasher = SipHasher13::new_with_keys(self.keys.0, self.keys.1);
+        let mut hasher = SipHasher13::new_with_keys(self.seed.0, self.seed.1);
         hasher.write(flow_key);
         hasher.finish()
     }
--- a/crates/routing/src/score.rs
+++ b/crates/routing/src/score.rs
@@ -1,14 +1,14 @@
-//! Scores of targets for a flow key, and the scans that find the best.
+//! Scores of targets for a flow key, and the scans that find the best target.
 
 use crate::hasher::{MULTIPLIER, mix};
-use crate::ring::{BUCKET_BOUND, RingTarget};
+use crate::ring::{MAX_SCANNED_TARGETS, RingTarget};
 
 impl RingTarget {
     pub(crate) fn weight(&self) -> f64 {
         f64::from(self.slots)
     }
 
-    /// Uniform over all 64 bits, and of its own for every pair of flow key and address.
+    /// Uniformly distributed over 64 bits and independent for each pair of flow key and address.
     pub(crate) fn score(&self, key: u64) -> u64 {
         let address = u64::from(u32::from(*self.agent.0.ip())) << 16;
         let address = address | u64::from(self.agent.0.port());
@@ -34,13 +34,15 @@
 }
 
 pub(crate) fn scan_costs(candidates: &[RingTarget], key: u64) -> Option<usize> {
-    let prunes = candidates.len() > BUCKET_BOUND;
+    let prune = candidates.len() > MAX_SCANNED_TARGETS;
     let mut best = None;
     let mut best_cost = f64::INFINITY;
     for (position, candidate) in candidates.iter().enumerate() {
-        // The logarithm is worked out only where it may decide: `-ln(u)` is never below `1 - u`,
-        // and mostly that is too much already. With few targets the branch costs more.
-        if prunes && least_log2(candidate.score(key)) > best_cost * candidate.weight() {
+        // Computes the logarithm only where it may matter: `-ln(u)` is never below `1 - u`, and
+        // that bound already excludes most candidates. With few targets the branch costs more than
+        // it saves.
+        if prune && negative_log2_lower_bound(candidate.score(key)) > best_cost * candidate.weight()
+        {
             continue;
         }
         let cost = candidate.cost(key);
@@ -51,17 +53,17 @@
     best
 }
 
-/// Below `negative_log2` of the score: `1 - u` over the natural logarithm of 2, less more than
-/// what rounding and the approximation can make up.
+/// A lower bound of `negative_log2` of the score: `1 - u` divided by the natural logarithm of 2,
+/// reduced by more than the errors of rounding and of the approximation.
 #[allow(clippy::cast_precision_loss)]
-fn least_log2(score: u64) -> f64 {
+fn negative_log2_lower_bound(score: u64) -> f64 {
     const SCALE: f64 = std::f64::consts::LOG2_E * 0.999 / (1_u64 << 53) as f64;
-    // Signed: the machine converts it in one step.
+    // The conversion from a signed integer is a single machine instruction.
     (!score >> 11).cast_signed() as f64 * SCALE
 }
 
-/// Coefficients of `p` in `log2(1 + t) = t + t (1 - t) p(t)` on `0 <= t <= 1`, lowest power
-/// first: a least-squares fit, exact at both ends.
+/// Coefficients of `p` in `log2(1 + t) = t + t (1 - t) p(t)` for `0 <= t <= 1`, lowest power
+/// first: a least-squares fit that is exact at both ends.
 const LOG2_TERMS: [f64; 5] = [
     0.442_695_040_888_963_4,
     -0.277_002_969_346_640_7,
@@ -70,10 +72,10 @@
     0.026_383_165_865_249_2,
 ];
 
-/// `-log2` of a score taken as a fraction of 2^64, within 0.005% of itself.
+/// Returns `-log2` of a score as a fraction of 2^64, with a relative error below 0.005%.
 ///
 /// The standard logarithm costs several times as much, and its last bit may differ between
-/// machines, on which two processes could then disagree.
+/// machines, so two processes could disagree on a placement.
 #[allow(clippy::cast_precision_loss)]
 fn negative_log2(score: u64) -> f64 {
     const STEP: f64 = 1.0 / (1_u64 << 52) as f64;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,12 +1,12 @@
-//! What the routing decision reads of a view, worked out when the view changes.
+//! The parts of a view that the routing decision reads, computed when the view changes.
 //!
 //! ```text
 //! address --> service --> shard --> ring of the service's targets
 //! ```
 //!
-//! A table is never changed in place: a newer one takes its place. Both share the map of
-//! addresses while the text is the same, and every shard in which no service has changed, so
-//! that a change costs what it concerns and not the size of the fleet.
+//! A table is never modified in place but replaced by a newer one. Both share the address map
+//! while the service text is unchanged, and every shard without changed services. The cost of a
+//! change therefore depends on the changed services and not on the size of the fleet.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -17,56 +17,57 @@
 
 use crate::directory::AgentDirectory;
 use crate::hasher::{MixMap, MixSet};
-use crate::ring::{IDLE_LIMIT, RingTarget, ServiceRing};
+use crate::ring::{MAX_IDLE_TICKS, RingTarget, ServiceRing};
 
-/// Parts of the map of services that are shared or copied as one.
+/// The number of shards of the service map. Each is shared between tables or copied as a whole.
 pub(crate) const SHARDS: usize = 256;
 
-/// The position of a service that the text does not name.
-pub(crate) const UNNAMED: u32 = u32::MAX;
+/// The position of a service that is not in the service text.
+pub(crate) const NO_POSITION: u32 = u32::MAX;
 
-/// Bytes of rows that one call of `tend` works out, unless a single row is larger: a scan for
-/// each, so that a call takes some tens of milliseconds at most.
-const FILL_BYTES: usize = 128 * 1024;
+/// The maximum size of the bucket tables that one call of `refresh_buckets` builds, in bytes, unless
+/// a single one is larger. Each byte costs one scan, so a call takes some tens of milliseconds at
+/// most.
+const MAX_FILL_BYTES: usize = 128 * 1024;
 
 pub(crate) type ServiceShard = MixMap<ServiceId, ServiceEntry>;
 
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceEntry {
-    /// Position in the text, for logs; [`UNNAMED`] when the text does not name the service.
+    /// Position in the service text, to find the name for logs, or [`NO_POSITION`].
     pub(crate) position: u32,
     pub(crate) ring: Arc<ServiceRing>,
 }
 
 impl ServiceEntry {
-    /// The entry after `earlier` with other targets. A service that gets new flows keeps a row
-    /// of buckets, so that no packet meets the change by a scan.
-    pub(crate) fn follow(
-        earlier: Option<&Self>,
+    /// Builds the entry that replaces `previous` with other targets. If the previous ring has a
+    /// bucket table, a new one is built here, so that no packet has to scan after the change.
+    pub(crate) fn with_targets(
+        previous: Option<&Self>,
         service: ServiceId,
         targets: &[RingTarget],
     ) -> Self {
         let ring = ServiceRing::new(service, targets);
-        let used = earlier.is_some_and(|entry| entry.ring.has_row());
-        let ring = if used { ring.with_row() } else { ring };
+        let used = previous.is_some_and(|entry| entry.ring.has_buckets());
+        let ring = if used { ring.with_buckets() } else { ring };
         Self {
-            position: earlier.map_or(UNNAMED, |entry| entry.position),
+            position: previous.map_or(NO_POSITION, |entry| entry.position),
             ring: Arc::new(ring),
         }
     }
 }
 
-/// A compact copy of a view for the packet path.
+/// A compact representation of a view for the packet path.
 #[derive(Clone, Debug)]
 pub struct RoutingTable {
     pub(crate) revision: ConfigRevision,
     pub(crate) text: Arc<ServiceText>,
     pub(crate) addresses: Arc<MixMap<SocketAddrV4, ServiceId>>,
-    /// Invariant: [`SHARDS`] long; holds every service of `addresses`.
+    /// Invariant: [`SHARDS`] long.
     pub(crate) shards: Box<[Arc<ServiceShard>]>,
-    /// Every target of every service held.
+    /// The agents of all services in `shards`.
     pub(crate) directory: AgentDirectory,
-    /// Agents known to be gone for good, with all flows they held.
+    /// Agents that are gone for good together with the flows they held.
     pub(crate) gone: Arc<MixSet<AgentAddress>>,
 }
 
@@ -85,43 +86,43 @@
 }
 
 pub(crate) fn shard_of(service: ServiceId) -> usize {
-    // The number of a service is a hash already.
+    // A service ID is already a hash.
     service.0 as usize % SHARDS
 }
 
 impl RoutingTable {
-    /// The configuration's revision that the table was made from.
+    /// Returns the configuration revision that the table was built from.
     #[must_use]
     pub fn revision(&self) -> ConfigRevision {
         self.revision
     }
 
-    /// The same table with these agents, and no others, known to be gone for good.
+    /// Replaces the set of agents that are gone for good.
     #[must_use]
     pub fn with_gone(mut self, agents: impl IntoIterator<Item = AgentAddress>) -> Self {
         self.gone = Arc::new(agents.into_iter().collect());
         self
     }
 
-    /// The ring of the service that an address leads to.
+    /// Returns the ring of the service at an address.
     #[must_use]
     pub fn ring_at(&self, address: SocketAddrV4) -> Option<&ServiceRing> {
         self.ring_of(self.service_at(address)?)
     }
 
-    /// The service that an address leads to.
+    /// Returns the service at an address.
     #[must_use]
     pub fn service_at(&self, address: SocketAddrV4) -> Option<ServiceId> {
         self.addresses.get(&address).copied()
     }
 
-    /// The ring of a service.
+    /// Returns the ring of a service, if the table has its targets.
     #[must_use]
     pub fn ring_of(&self, service: ServiceId) -> Option<&ServiceRing> {
         self.entry(service).map(|entry| entry.ring.as_ref())
     }
 
-    /// The name of a service that the text names.
+    /// Returns the name of a service that is in the service text.
     #[must_use]
     pub fn service_name(&self, service: ServiceId) -> Option<&ServiceName> {
         let position = self.entry(service)?.position as usize;
@@ -129,19 +130,21 @@
         Some(&named.name)
     }
 
-    /// Whether the agent that held flows of a service at this address is known to be gone for
-    /// good. An agent that no list names is not gone: lists lag, and it may be newer than they
-    /// are. Nor is one that the service's own list names and nobody suspects: where an address
-    /// went from one service to another, only flows of the former are without their agent.
+    /// Returns whether the agent that held flows of a service at this address is gone for good.
+    ///
+    /// An agent is not gone merely because it is not listed: lists lag, and the agent may be newer
+    /// than the list. An agent that is listed for this service and not suspected is not gone
+    /// either: when an address moves from one service to another, only flows of the former service
+    /// have lost their agent.
     #[must_use]
     pub fn is_gone(&self, agent: AgentAddress, service: ServiceId) -> bool {
         !self.gone.is_empty() && self.gone.contains(&agent) && !self.serves(agent, service)
     }
 
-    /// Whether an agent is listed, but for other services than this one: its instance has passed
-    /// from one to another.
+    /// Returns whether an agent is listed, but only for other services: its instance has moved to
+    /// another service.
     #[must_use]
-    pub fn is_elsewhere(&self, agent: AgentAddress, service: ServiceId) -> bool {
+    pub fn is_reassigned(&self, agent: AgentAddress, service: ServiceId) -> bool {
         let ring = self.ring_of(service);
         let listed = ring.is_some_and(|ring| ring.standing_of(agent).is_some());
         !listed && self.directory.contains(agent)
@@ -153,52 +156,57 @@
         standing.is_some_and(|standing| standing != TargetStanding::Suspected)
     }
 
-    /// Gives a service other targets; its addresses and name stay.
+    /// Replaces the targets of a service and keeps its addresses and name.
     pub(crate) fn set_targets(&mut self, service: ServiceId, targets: &[RingTarget]) {
         let shard = Arc::make_mut(&mut self.shards[shard_of(service)]);
-        let earlier = shard.remove(&service);
-        let entry = ServiceEntry::follow(earlier.as_ref(), service, targets);
-        let before = earlier.as_ref().map_or(&[][..], |held| held.ring.targets());
+        let previous = shard.remove(&service);
+        let entry = ServiceEntry::with_targets(previous.as_ref(), service, targets);
+        let before = previous
+            .as_ref()
+            .map_or(&[][..], |entry| entry.ring.targets());
         self.directory.replace(before, entry.ring.targets());
         self.directory.shrink();
         shard.insert(service, entry);
     }
 
-    /// Works out the buckets of the services that got new flows since the last call, and gives
-    /// up those of services that got none for long; `None` when nothing changes. Rows take
-    /// `budget` bytes together at most; a service beyond it is scanned for each new flow, with
-    /// the same result.
+    /// Builds bucket tables for services that received new flows since the last call and drops
+    /// those of services that have been idle for [`MAX_IDLE_TICKS`] calls. Returns `None` when
+    /// nothing changes. All bucket tables together take at most `budget` bytes; a service that does
+    /// not fit is scanned for each new flow, with the same result.
     ///
-    /// To be called once a second. Costs a scan for each bucket of a service that is new to it.
+    /// Call this once a second. It costs one scan per bucket of each bucket table that it builds.
     #[must_use]
-    pub fn tend(&self, budget: usize) -> Option<Self> {
-        let mut tended = None;
-        let (mut held, mut filled) = (0, 0);
+    pub fn refresh_buckets(&self, budget: usize) -> Option<Self> {
+        let mut refreshed = None;
+        let (mut used, mut filled) = (0, 0);
         for (service, ring) in self.rings() {
-            ring.grow_idle();
-            let bytes = ring.row_bytes();
-            let fits = bytes > 0 && held + bytes <= budget;
-            let wanted = match ring.has_row() {
-                true => fits && ring.idle() < IDLE_LIMIT,
-                false => fits && ring.idle() == 1 && (filled == 0 || filled + bytes <= FILL_BYTES),
+            ring.increment_idle();
+            let bytes = ring.bucket_bytes();
+            let fits = bytes > 0 && used + bytes <= budget;
+            let wanted = match ring.has_buckets() {
+                true => fits && ring.idle_ticks() < MAX_IDLE_TICKS,
+                false => {
+                    fits && ring.idle_ticks() == 1
+                        && (filled == 0 || filled + bytes <= MAX_FILL_BYTES)
+                }
             };
             if wanted {
-                held += bytes;
+                used += bytes;
             }
-            if wanted != ring.has_row() {
+            if wanted != ring.has_buckets() {
                 filled += if wanted { bytes } else { 0 };
-                let table = tended.get_or_insert_with(|| self.clone());
-                table.set_ring(service, ring.copy(wanted));
+                let table = refreshed.get_or_insert_with(|| self.clone());
+                table.set_ring(service, ring.rebuilt(wanted));
             }
         }
-        tended
+        refreshed
     }
 
-    /// Bytes that the rows of buckets take.
+    /// Returns the size of all bucket tables in bytes.
     #[must_use]
-    pub fn row_bytes(&self) -> usize {
-        let kept = self.rings().filter(|(_, ring)| ring.has_row());
-        kept.map(|(_, ring)| ring.row_bytes()).sum()
+    pub fn bucket_bytes(&self) -> usize {
+        let cached = self.rings().filter(|(_, ring)| ring.has_buckets());
+        cached.map(|(_, ring)| ring.bucket_bytes()).sum()
     }
 
     pub(crate) fn rings(&self) -> impl Iterator<Item = (ServiceId, &ServiceRing)> {
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -1,4 +1,4 @@
-//! Making a routing table from a view of the fleet.
+//! Builds routing tables from views of the fleet.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,61 +10,64 @@
 use crate::ring::RingTarget;
 use crate::table::RoutingTable;
 
-/// What differs between two views, worked out once for all who follow them.
+/// The difference between two views, computed once for all its users.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewChange {
-    /// Whether they differ in their service text or its revision.
-    pub text: bool,
+    /// Whether the service text or its revision differs.
+    pub config_changed: bool,
     /// The services whose targets may differ.
     pub services: Vec<ServiceId>,
 }
 
 impl ViewChange {
-    /// Compares two views. Views share the targets of the services in which they are equal, so
-    /// this looks at each service but not at its targets.
+    /// Compares two views. Views share the targets of services that are equal in both, so the
+    /// comparison visits each service but not its targets.
     #[must_use]
-    pub fn between(earlier: &FleetView, view: &FleetView) -> Self {
-        let differs =
-            |service: &ServiceId| !std::ptr::eq(earlier.targets(*service), view.targets(*service));
-        let mut services: Vec<ServiceId> = view.services().filter(differs).collect();
-        let left = |service: &ServiceId| view.targets(*service).is_empty();
-        services.extend(earlier.services().filter(left));
-        let same_text = Arc::ptr_eq(earlier.text(), view.text());
+    pub fn between(previous: &FleetView, view: &FleetView) -> Self {
+        let changed =
+            |service: &ServiceId| !std::ptr::eq(previous.targets(*service), view.targets(*service));
+        let mut services: Vec<ServiceId> = view.services().filter(changed).collect();
+        let removed = |service: &ServiceId| view.targets(*service).is_empty();
+        services.extend(previous.services().filter(removed));
+        let same_text = Arc::ptr_eq(previous.text(), view.text());
         Self {
-            text: !same_text || earlier.revision() != view.revision(),
+            config_changed: !same_text || previous.revision() != view.revision(),
             services,
         }
     }
 }
 
 impl RoutingTable {
-    /// The table of a view, reusing what `earlier` shares with it. Costs time in proportion to
-    /// the fleet: call it when the text changes or the fleet is small, not for a packet.
+    /// Builds the table of a view and reuses the unchanged parts of `previous`. The cost is linear
+    /// in the size of the fleet: call it when the service text changes or the fleet is small, not
+    /// per packet.
     #[must_use]
-    pub fn from_view(view: &FleetView, earlier: &Self) -> Self {
-        let mut builder = TableBuilder::new(view.revision(), earlier);
-        let mut named = HashSet::with_capacity(view.text().services.len());
+    pub fn from_view(view: &FleetView, previous: &Self) -> Self {
+        let mut builder = TableBuilder::new(view.revision(), previous);
+        let mut configured = HashSet::with_capacity(view.text().services.len());
         for entry in &view.text().services {
             let service = entry.name.id();
-            named.insert(service);
+            configured.insert(service);
             let addresses = entry.addresses.iter().map(|address| address.address);
             builder = builder.with_service(service, addresses, &targets_of(view, service));
         }
-        // Services that the text names no longer, or not yet, still have agents that can reset
-        // or hold flows.
-        let unnamed = view.services().filter(|service| !named.contains(service));
-        for service in unnamed {
+        // Services that are no longer, or not yet, in the service text still have agents that can
+        // reset or hold flows.
+        let unconfigured = view
+            .services()
+            .filter(|service| !configured.contains(service));
+        for service in unconfigured {
             builder = builder.with_service(service, [], &targets_of(view, service));
         }
         builder.with_text(view.text()).build()
     }
 
-    /// The table of a view with the targets of these services only, and all addresses: enough for
-    /// an agent, which meets packets of its own service and calls its dependencies. `earlier` is
-    /// a table made in the same way.
+    /// Builds the table of a view with all addresses but only the targets of these services. This
+    /// is enough for an agent, which receives packets of its own service and calls its
+    /// dependencies. `previous` must have been built in the same way.
     #[must_use]
-    pub fn from_view_of(services: &[ServiceId], view: &FleetView, earlier: &Self) -> Self {
-        let mut builder = TableBuilder::new(view.revision(), earlier);
+    pub fn from_view_for(services: &[ServiceId], view: &FleetView, previous: &Self) -> Self {
+        let mut builder = TableBuilder::new(view.revision(), previous);
         for entry in &view.text().services {
             let service = entry.name.id();
             let addresses = entry.addresses.iter().map(|address| address.address);
@@ -76,10 +79,10 @@
         builder.with_text(view.text()).build()
     }
 
-    /// The table of a view that differs by `change` from the one that this table was made from.
+    /// Builds the table of a view that differs by `change` from the view of this table.
     #[must_use]
-    pub fn follow(&self, view: &FleetView, change: &ViewChange) -> Self {
-        if change.text {
+    pub fn with_change(&self, view: &FleetView, change: &ViewChange) -> Self {
+        if change.config_changed {
             return Self::from_view(view, self);
         }
         let mut table = self.clone();
--- a/crates/routing/tests/all/absence.rs
+++ b/crates/routing/tests/all/absence.rs
@@ -1,4 +1,4 @@
-//! Which agents are gone for good.
+//! Detection of agents that are gone for good.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,35 +7,35 @@
     AgentAddress, ConfigRevision, InstanceList, InstanceState, ListRevision, Moment, ServiceName,
 };
 use lovagelatch_membership::{FleetView, TargetStanding};
-use lovagelatch_routing::{AbsenceTracker, RoutingTable, SUSPICION_LIMIT, ViewChange};
+use lovagelatch_routing::{AbsenceTracker, RoutingTable, SUSPICION_TIMEOUT, ViewChange};
 
 use crate::support::agent;
 use crate::view::record;
 
-const DRAIN_LIMIT: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What one view says of agent 1: its standing, or nothing when it is not listed.
-type Sight = Option<TargetStanding>;
+/// The standing of agent 1 in a view, or `None` when it is not listed.
+type ListedStanding = Option<TargetStanding>;
 
 struct AbsenceCase {
     name: &'static str,
-    /// Views with the second at which each arrived.
-    sights: Vec<(u64, Sight)>,
-    asked_at: u64,
+    /// The agent's standing in successive views, each with the second of its arrival.
+    standings: Vec<(u64, ListedStanding)>,
+    checked_at: u64,
     gone: bool,
 }
 
-fn view(sight: Sight) -> FleetView {
+fn view(listed: ListedStanding) -> FleetView {
     let mut list = InstanceList {
         revision: ListRevision(1),
         targets: vec![record(2, "claims", InstanceState::Live)],
         balancers: Vec::new(),
     };
-    if sight.is_some() {
+    if listed.is_some() {
         list.targets.push(record(1, "claims", InstanceState::Live));
     }
     let view = FleetView::new(ConfigRevision(1), Arc::default(), &list);
-    match sight {
+    match listed {
         Some(standing) => view.with_standing(agent(1), standing),
         None => view,
     }
@@ -43,10 +43,10 @@
 
 fn cases() -> Vec<AbsenceCase> {
     use TargetStanding::{Leaving, Live, Suspected};
-    let case = |name, sights: &[(u64, Sight)], asked_at, gone| AbsenceCase {
+    let case = |name, standings: &[(u64, ListedStanding)], checked_at, gone| AbsenceCase {
         name,
-        sights: sights.to_vec(),
-        asked_at,
+        standings: standings.to_vec(),
+        checked_at,
         gone,
     };
     vec![
@@ -74,7 +74,7 @@
             true,
         ),
         case(
-            "drained: off the list while it still ends its flows",
+            "drained: off the list while its flows still end",
             &[(0, Some(Live)), (1, Some(Leaving)), (5, None)],
             34,
             false,
@@ -106,16 +106,15 @@
     ]
 }
 
-/// Symptom: all feeds of a zone are reset while it is cut off for a minute. Sequence: a partition
-/// separates a zone; its agents are suspected, but its balancers still reach them. Cause: a cut
-/// zone taken for dead instances.
+/// Guards against a reset of all feeds of a zone that is partitioned for a minute. All its agents
+/// are suspected, but its balancers still reach them, so they must not count as dead.
 #[test]
-fn a_zone_that_is_cut_off_is_not_gone() {
-    let mut tracker = AbsenceTracker::new(DRAIN_LIMIT);
+fn a_partitioned_zone_is_not_gone() {
+    let mut tracker = AbsenceTracker::new(DRAIN_TIMEOUT);
     let cut =
         view(Some(TargetStanding::Suspected)).with_standing(agent(2), TargetStanding::Suspected);
     let start = FleetView::default();
-    tracker.note(
+    tracker.record(
         &start,
         &cut,
         &ViewChange::between(&start, &cut),
@@ -126,35 +125,40 @@
 
 #[test]
 fn a_suspicion_must_outlast_one_accusation() {
-    assert!(SUSPICION_LIMIT > lovagelatch_membership::ACCUSATION_TTL);
+    assert!(SUSPICION_TIMEOUT > lovagelatch_membership::ACCUSATION_TTL);
 }
 
-/// Symptom: feeds of a draining agent are reset, or callers of a dead one wait for their idle
-/// timeout. Sequence: an instance leaves the list, before or after its agent ended. Cause: the
-/// list taken for proof that an agent is dead, or no proof of death at all.
+/// Guards against feeds of a draining agent that are reset, and against callers of a dead agent
+/// that wait for their idle timeout. An instance may leave the list before or after its agent ends,
+/// so the list alone proves nothing.
 #[test]
-fn only_the_dead_are_gone() {
+fn only_dead_agents_are_gone() {
     for case in cases() {
-        let mut tracker = AbsenceTracker::new(DRAIN_LIMIT);
-        let mut held = FleetView::default();
-        for (second, sight) in case.sights {
-            let next = view(sight);
-            let change = ViewChange::between(&held, &next);
-            tracker.note(&held, &next, &change, Moment::from_millis(second * 1_000));
-            held = next;
+        let mut tracker = AbsenceTracker::new(DRAIN_TIMEOUT);
+        let mut previous = FleetView::default();
+        for (second, listed) in case.standings {
+            let next = view(listed);
+            let change = ViewChange::between(&previous, &next);
+            tracker.record(
+                &previous,
+                &next,
+                &change,
+                Moment::from_millis(second * 1_000),
+            );
+            previous = next;
         }
         let gone: Vec<AgentAddress> = tracker
-            .gone(Moment::from_millis(case.asked_at * 1_000))
+            .gone(Moment::from_millis(case.checked_at * 1_000))
             .collect();
         assert_eq!(gone.contains(&agent(1)), case.gone, "{}", case.name);
         assert!(!gone.contains(&agent(2)), "{}", case.name);
     }
 }
 
-/// Symptom: callers of a dead agent hear nothing until their idle timeout, though the list has
-/// long given its address to another service. Sequence: an instance is lost; one of another
-/// service starts at its address; its agent refuses the former flows as of a wrong service.
-/// Cause: whoever was listed again, for any service, was taken for a successor that resets.
+/// Guards against callers of a dead agent that get no answer until their idle timeout although its
+/// address is already listed for another service. An instance is lost and one of another service
+/// starts at its address; the new agent drops packets of the former flows as belonging to a wrong
+/// service. Only an agent of the same service counts as a successor that resets flows.
 #[test]
 fn an_address_that_another_service_has_is_gone_for_the_former_one() {
     let listed = |service: &str| {
@@ -173,10 +177,11 @@
         let name: ServiceName = name.parse().expect("a valid name");
         name.id()
     });
-    let mut tracker = AbsenceTracker::new(DRAIN_LIMIT);
-    let mut held = FleetView::default();
+    let mut tracker = AbsenceTracker::new(DRAIN_TIMEOUT);
+    let mut previous = FleetView::default();
     let mut table = RoutingTable::default();
-    // Which service the list gives the address of agent 1, and for which it is gone then.
+    // The service that the address of agent 1 is listed for, and whether the agent is then gone for
+    // claims and for maps.
     let steps = [
         ("claims", [false, false]),
         ("maps", [true, false]),
@@ -184,11 +189,13 @@
     ];
     for (second, (service, gone)) in (0..).zip(steps) {
         let next = listed(service);
-        let change = ViewChange::between(&held, &next);
+        let change = ViewChange::between(&previous, &next);
         let now = Moment::from_millis(second * 1_000);
-        tracker.note(&held, &next, &change, now);
-        table = table.follow(&next, &change).with_gone(tracker.gone(now));
-        held = next;
+        tracker.record(&previous, &next, &change, now);
+        table = table
+            .with_change(&next, &change)
+            .with_gone(tracker.gone(now));
+        previous = next;
         let found = [claims, maps].map(|service| table.is_gone(agent(1), service));
         assert_eq!(found, gone, "listed for {service}");
         assert!(!table.is_gone(agent(2), claims) && !table.is_gone(agent(3), maps));
--- a/crates/routing/tests/all/arrival.rs
+++ b/crates/routing/tests/all/arrival.rs
@@ -1,9 +1,9 @@
-//! The decision for a forwarded packet at the agent it reached.
+//! The routing decision for a forwarded packet at the agent that received it.
 
 use lovagelatch_domain::{ConfigRevision, ServiceId};
 use lovagelatch_keys::FlowToken;
 use lovagelatch_routing::{
-    ArrivalDecision, ArrivalPacket, FlowHolding, FlowRouter, RouteRefusal, RoutingTable,
+    ArrivalDecision, ArrivalPacket, FlowAdmission, FlowRouter, RouteRefusal, RoutingTable,
     TableBuilder,
 };
 
@@ -21,11 +21,11 @@
     service: ServiceId,
     revision: u64,
     hops: u8,
-    holding: FlowHolding,
+    admission: FlowAdmission,
     expected: ArrivalDecision,
 }
 
-/// A new flow for claims that the agent takes; each case changes what it is about.
+/// A new flow of claims that the agent accepts. Each case changes the fields that it tests.
 fn base(name: &'static str) -> ArrivalCase {
     ArrivalCase {
         name,
@@ -35,7 +35,7 @@
         service: CLAIMS,
         revision: 5,
         hops: 0,
-        holding: FlowHolding::Open,
+        admission: FlowAdmission::Accepting,
         expected: ArrivalDecision::Accept,
     }
 }
@@ -55,31 +55,31 @@
 }
 
 fn new_flow_cases() -> Vec<ArrivalCase> {
-    let other = ArrivalDecision::HandOn { agent: agent(1) };
+    let other = ArrivalDecision::Forward { agent: agent(1) };
     vec![
         base("a new flow"),
         ArrivalCase {
-            holding: FlowHolding::OverShare,
+            admission: FlowAdmission::OverShare,
             expected: other,
             ..base("over its share")
         },
         ArrivalCase {
-            holding: FlowHolding::Leaving,
+            admission: FlowAdmission::Leaving,
             expected: other,
             ..base("leaving")
         },
         ArrivalCase {
-            holding: FlowHolding::Leaving,
+            admission: FlowAdmission::Leaving,
             hops: 1,
-            ..base("leaving, handed on already")
+            ..base("leaving, already forwarded by an agent")
         },
         ArrivalCase {
-            holding: FlowHolding::Leaving,
+            admission: FlowAdmission::Leaving,
             table: table(&live(1)),
-            ..base("leaving, nobody else")
+            ..base("leaving, no other agent")
         },
         ArrivalCase {
-            holding: FlowHolding::Begun,
+            admission: FlowAdmission::HandshakeStarted,
             ..base("the rest of a handshake")
         },
         ArrivalCase {
@@ -91,12 +91,12 @@
             address: MAPS_ADDRESS,
             revision: 4,
             expected: wrong(CLAIMS, MAPS),
-            ..base("the address has passed to another service since")
+            ..base("the address has moved to another service")
         },
         ArrivalCase {
             address: MAPS_ADDRESS,
             revision: 6,
-            ..base("the address has passed to this service since")
+            ..base("the address has moved to this service")
         },
     ]
 }
@@ -105,19 +105,19 @@
     vec![
         ArrivalCase {
             token: Some(token(OWN, CLAIMS)),
-            holding: FlowHolding::Leaving,
-            ..base("an own flow, leaving")
+            admission: FlowAdmission::Leaving,
+            ..base("a local flow, leaving")
         },
         ArrivalCase {
             token: Some(token(OWN, CLAIMS)),
             address: MAPS_ADDRESS,
             service: MAPS,
-            ..base("an own flow whose address has passed to another service since")
+            ..base("a local flow whose address has moved to another service")
         },
         ArrivalCase {
             token: Some(token(101, CLAIMS)),
             expected: ArrivalDecision::Reset,
-            ..base("a flow of an instance that has passed to another service since")
+            ..base("a flow of an instance that has moved to another service")
         },
         ArrivalCase {
             token: Some(token(OWN, MAPS)),
@@ -126,29 +126,29 @@
         },
         ArrivalCase {
             token: Some(token(9, CLAIMS)),
-            expected: ArrivalDecision::HandOn { agent: agent(9) },
-            ..base("a flow of an agent that is not gone by this view")
+            expected: ArrivalDecision::Forward { agent: agent(9) },
+            ..base("a flow of an agent that is not gone in this view")
         },
         ArrivalCase {
             token: Some(token(9, CLAIMS)),
             table: gone(9),
             expected: ArrivalDecision::Reset,
-            ..base("a flow of an agent that is gone by both views")
+            ..base("a flow of an agent that is gone in both views")
         },
         ArrivalCase {
             token: Some(token(9, CLAIMS)),
             hops: 1,
             expected: ArrivalDecision::Reset,
-            ..base("a flow of another agent, handed on already")
+            ..base("a flow of another agent, already forwarded by an agent")
         },
     ]
 }
 
-/// Symptom: flows of a healthy agent are reset, or a packet circles. Sequence: a balancer
-/// sleeps, wakes and acts on its old view; agents see packets meant for others. Cause: agents
-/// that act on the balancer's view alone.
+/// Guards against resets of flows of a healthy agent and against packets that loop. A balancer that
+/// was paused acts on its stale view, so agents receive packets meant for others. They must not
+/// rely on the balancer's view alone.
 #[test]
-fn an_agent_judges_what_a_balancer_sent() {
+fn an_agent_checks_what_a_balancer_forwarded() {
     let router = FlowRouter::new();
     for case in new_flow_cases().into_iter().chain(open_flow_cases()) {
         let arrival = ArrivalPacket {
@@ -156,9 +156,9 @@
             service: case.service,
             revision: ConfigRevision(case.revision),
             hops: case.hops,
-            holding: case.holding,
+            admission: case.admission,
         };
-        let decision = router.arrive(&arrival, agent(OWN), CLAIMS, &case.table);
+        let decision = router.route_arrival(&arrival, agent(OWN), CLAIMS, &case.table);
         assert_eq!(decision, case.expected, "{}", case.name);
     }
 }
--- a/crates/routing/tests/all/header.rs
+++ b/crates/routing/tests/all/header.rs
@@ -1,6 +1,6 @@
-//! Reading QUIC headers.
+//! Parsing of QUIC headers.
 
-use lovagelatch_routing::{HeaderFault, HeaderForm, QuicHeader};
+use lovagelatch_routing::{HeaderError, HeaderForm, QuicHeader};
 use quickcheck::quickcheck;
 
 use crate::support::{long_header, short_header};
@@ -8,7 +8,7 @@
 struct HeaderCase {
     name: &'static str,
     datagram: Vec<u8>,
-    expected: Result<(HeaderForm, Vec<u8>), HeaderFault>,
+    expected: Result<(HeaderForm, Vec<u8>), HeaderError>,
 }
 
 fn cases() -> Vec<HeaderCase> {
@@ -20,7 +20,7 @@
         expected,
     };
     vec![
-        case("nothing", vec![], Err(HeaderFault::Truncated)),
+        case("empty datagram", vec![], Err(HeaderError::Truncated)),
         case(
             "Initial",
             long_header(0, 1, &id, 1_200),
@@ -39,12 +39,12 @@
         case(
             "Retry",
             long_header(3, 1, &id, 60),
-            Err(HeaderFault::ServerOnly),
+            Err(HeaderError::ServerOnly),
         ),
         case(
             "version negotiation",
             long_header(0, 0, &id, 60),
-            Err(HeaderFault::ServerOnly),
+            Err(HeaderError::ServerOnly),
         ),
         case(
             "another version",
@@ -64,17 +64,17 @@
         case(
             "version 1, long connection ID",
             long_header(0, 1, &[5; 21], 1_200),
-            Err(HeaderFault::LongId { length: 21 }),
+            Err(HeaderError::LongId { length: 21 }),
         ),
         case(
-            "long header cut in its version",
+            "long header truncated in its version",
             vec![0xc0, 0, 0],
-            Err(HeaderFault::Truncated),
+            Err(HeaderError::Truncated),
         ),
         case(
-            "long header cut in its connection ID",
+            "long header truncated in its connection ID",
             vec![0xc0, 0, 0, 0, 1, 20, 1, 2, 3],
-            Err(HeaderFault::Truncated),
+            Err(HeaderError::Truncated),
         ),
         case(
             "short header",
@@ -82,15 +82,15 @@
             Ok((HeaderForm::Short, token)),
         ),
         case(
-            "short header cut in its connection ID",
+            "short header truncated in its connection ID",
             vec![0x40; 20],
-            Err(HeaderFault::Truncated),
+            Err(HeaderError::Truncated),
         ),
     ]
 }
 
 #[test]
-fn headers_are_read_as_their_version_says() {
+fn headers_are_parsed_according_to_their_version() {
     for case in cases() {
         let read = QuicHeader::parse(&case.datagram);
         let read = read.map(|header| (header.form, header.destination.to_vec()));
--- a/crates/routing/tests/all/packet.rs
+++ b/crates/routing/tests/all/packet.rs
@@ -1,7 +1,7 @@
-//! From a datagram to the packet that the decision sees.
+//! Parsing of datagrams into packet views.
 
 use lovagelatch_keys::{FleetKeys, FlowToken, TokenError};
-use lovagelatch_routing::{HeaderFault, MIN_INITIAL_BYTES, PacketFault, PacketView};
+use lovagelatch_routing::{HeaderError, MIN_INITIAL_BYTES, PacketError, PacketView};
 use quickcheck::quickcheck;
 
 use crate::support::{CLAIMS, CLAIMS_ADDRESS, keys, long_header, secret, short_header, token};
@@ -9,7 +9,7 @@
 struct PacketCase {
     name: &'static str,
     datagram: Vec<u8>,
-    expected: Result<Option<FlowToken>, PacketFault>,
+    expected: Result<Option<FlowToken>, PacketError>,
 }
 
 fn cases() -> Vec<PacketCase> {
@@ -24,7 +24,7 @@
         datagram,
         expected,
     };
-    let unknown = PacketFault::Token(TokenError::UnknownGeneration { generation: 9 });
+    let unknown = PacketError::Token(TokenError::UnknownGeneration { generation: 9 });
     vec![
         case(
             "Initial with a chosen ID",
@@ -44,14 +44,14 @@
         case(
             "small Initial",
             long_header(0, 1, &[7; 8], MIN_INITIAL_BYTES - 1),
-            Err(PacketFault::SmallInitial {
+            Err(PacketError::SmallInitial {
                 length: MIN_INITIAL_BYTES - 1,
             }),
         ),
         case(
             "Initial with a short ID",
             long_header(0, 1, &[7; 7], MIN_INITIAL_BYTES),
-            Err(PacketFault::ShortId { length: 7 }),
+            Err(PacketError::ShortId { length: 7 }),
         ),
         case("0-RTT", long_header(1, 1, &[7; 8], 90), Ok(None)),
         case(
@@ -62,7 +62,7 @@
         case(
             "another version, small",
             long_header(0, 9, &[7; 8], 300),
-            Err(PacketFault::SmallInitial { length: 300 }),
+            Err(PacketError::SmallInitial { length: 300 }),
         ),
         case(
             "Handshake with a token",
@@ -72,13 +72,13 @@
         case(
             "Handshake with a chosen ID",
             long_header(2, 1, &[7; 8], 90),
-            Err(PacketFault::Token(TokenError::WrongLength { length: 8 })),
+            Err(PacketError::Token(TokenError::WrongLength { length: 8 })),
         ),
         case("short header", short_header(&sealed), Ok(Some(held))),
         case(
             "short header, forged token",
             short_header(&forged),
-            Err(PacketFault::Token(TokenError::InvalidTag)),
+            Err(PacketError::Token(TokenError::InvalidTag)),
         ),
         case(
             "short header, expired generation",
@@ -88,13 +88,13 @@
         case(
             "short header, truncated",
             short_header(&sealed)[..15].to_vec(),
-            Err(PacketFault::Header(HeaderFault::Truncated)),
+            Err(PacketError::Header(HeaderError::Truncated)),
         ),
     ]
 }
 
 #[test]
-fn datagrams_become_packets_or_typed_faults() {
+fn datagrams_become_packets_or_typed_errors() {
     for case in cases() {
         let read = PacketView::read(&case.datagram, CLAIMS_ADDRESS, &keys(1));
         assert_eq!(
@@ -106,9 +106,9 @@
     }
 }
 
-/// Symptom: all feeds open for longer than a key's life break at once. Sequence: a flow opens
-/// under key 1; the operator rotates to key 2; packets of the flow arrive at balancers that have
-/// rotated and at some that have not. Cause: a balancer that accepts only its current key.
+/// Guards against all feeds that are older than a key breaking at once. A flow opens under key 1,
+/// the operator rotates to key 2, and packets of the flow reach balancers before and after their
+/// rotation. A balancer must accept all its valid keys and not only the current one.
 #[test]
 fn a_rotation_breaks_no_flow() {
     struct RotationCase {
--- a/crates/routing/tests/all/ring.rs
+++ b/crates/routing/tests/all/ring.rs
@@ -1,10 +1,10 @@
-//! Weighted rendezvous hashing, scanned and in buckets.
+//! Weighted rendezvous hashing by scan and by buckets.
 
 use std::collections::HashMap;
 
 use lovagelatch_domain::AgentAddress;
 use lovagelatch_membership::TargetStanding::{Leaving, Live, Suspected};
-use lovagelatch_routing::{BUCKET_BOUND, RingTarget, ServiceRing};
+use lovagelatch_routing::{MAX_SCANNED_TARGETS, RingTarget, ServiceRing};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -27,7 +27,7 @@
 }
 
 fn large() -> u16 {
-    u16::try_from(BUCKET_BOUND).expect("a small bound") * 2
+    u16::try_from(MAX_SCANNED_TARGETS).expect("a small bound") * 2
 }
 
 #[test]
@@ -46,9 +46,9 @@
     }
 }
 
-/// Symptom: half of all handshakes stall when one target leaves. Sequence: a target leaves while
-/// balancers learn of it at different times; flows that never went to it change their agent
-/// between two datagrams. Cause: a hash that moves flows between targets that stay.
+/// Guards against half of all handshakes stalling when one target leaves. Balancers learn of the
+/// change at different times, so a hash that moves flows between the remaining targets would change
+/// a flow's agent between two datagrams.
 #[test]
 fn removing_a_target_moves_only_its_flows() {
     for count in [2, 7] {
@@ -63,13 +63,13 @@
     }
 }
 
-/// As above for buckets. Both rings have the same number of buckets here; at a step of that
-/// number all flows are placed anew.
+/// The same for buckets. Both rings have the same number of buckets here; when that number changes,
+/// all flows are placed again.
 #[test]
 fn removing_a_target_from_buckets_moves_only_its_flows() {
     let targets = live(large());
-    let before = ServiceRing::new(CLAIMS, &targets).with_row();
-    let after = ServiceRing::new(CLAIMS, &targets[1..]).with_row();
+    let before = ServiceRing::new(CLAIMS, &targets).with_buckets();
+    let after = ServiceRing::new(CLAIMS, &targets[1..]).with_buckets();
     let moved = flow_keys(3)
         .into_iter()
         .filter(|&key| before.pick(key) != Some(agent(0)) && before.pick(key) != after.pick(key))
@@ -112,7 +112,7 @@
         let targets: Vec<RingTarget> = numbered
             .map(|(number, &slots)| target(number, slots, Live))
             .collect();
-        let shares = shares(&ServiceRing::new(CLAIMS, &targets).with_row());
+        let shares = shares(&ServiceRing::new(CLAIMS, &targets).with_buckets());
         let total: f64 = case.slots.iter().map(|&slots| f64::from(slots)).sum();
         for target in &targets {
             let expected = FLOWS as f64 * f64::from(target.slots) / total;
@@ -150,7 +150,7 @@
             vec![0],
         ),
         case(
-            "then suspected",
+            "suspected without live ones",
             vec![target(1, 3, Suspected), target(2, 3, Leaving)],
             vec![1],
         ),
@@ -174,11 +174,11 @@
 }
 
 #[test]
-fn the_order_starts_with_the_pick_and_repeats_nobody() {
+fn the_ranking_starts_with_the_pick_and_has_no_duplicates() {
     for count in [1, 2, 7, large()] {
         let ring = ServiceRing::new(CLAIMS, &live(count));
         for key in flow_keys(5).into_iter().take(500) {
-            let order = ring.order(key, 3);
+            let order = ring.ranked(key, 3);
             assert_eq!(order.len(), usize::from(count.min(3)));
             assert_eq!(order.first().copied(), ring.pick(key));
             let mut unique = order.to_vec();
@@ -189,25 +189,25 @@
     }
 }
 
-/// Symptom: handshakes of a large service stall for a second after a balancer has started.
-/// Sequence: one balancer keeps the winners of the service's buckets, the other scans; they give
-/// two datagrams of one handshake to two agents. Cause: a scan of anything but the bucket's key.
+/// Guards against handshakes of a large service stalling for a second after a balancer starts. One
+/// balancer has a bucket table and another one scans; if the scan used anything but the bucket's
+/// key, they would send two datagrams of a handshake to two agents.
 #[test]
-fn a_row_of_buckets_only_remembers_what_a_scan_finds() {
+fn a_bucket_table_picks_what_a_scan_finds() {
     for count in [large(), 257, 300] {
         for slots in [1, 7] {
             let numbered = (0..count).map(|number| target(number, 1 + number % slots, Live));
             let targets: Vec<RingTarget> = numbered.collect();
             let scanned = ServiceRing::new(CLAIMS, &targets);
-            let kept = ServiceRing::new(CLAIMS, &targets).with_row();
+            let cached = ServiceRing::new(CLAIMS, &targets).with_buckets();
             for key in flow_keys(6).into_iter().take(1_000) {
-                assert_eq!(scanned.pick(key), kept.pick(key), "{count} targets");
+                assert_eq!(scanned.pick(key), cached.pick(key), "{count} targets");
             }
         }
     }
 }
 
-/// The scan leaves out logarithms that cannot decide; the order works out all of them.
+/// The scan skips logarithms that cannot change its result; the ranking computes all of them.
 #[test]
 fn a_scan_of_unequal_weights_finds_the_best() {
     for slots in [[1, 1, 2], [1, 200, 3], [u16::MAX, 1, 1], [9, 10, 11]] {
@@ -217,13 +217,13 @@
             .collect();
         let ring = ServiceRing::new(CLAIMS, &targets);
         for key in flow_keys(7).into_iter().take(5_000) {
-            assert_eq!(ring.pick(key), ring.order(key, 1).first().copied());
+            assert_eq!(ring.pick(key), ring.ranked(key, 1).first().copied());
         }
     }
 }
 
 #[test]
-fn asking_for_no_agent_gives_none() {
+fn a_ranking_of_no_agents_is_empty() {
     let ring = ServiceRing::new(CLAIMS, &live(7));
-    assert!(ring.order(1, 0).is_empty());
+    assert!(ring.ranked(1, 0).is_empty());
 }
--- a/crates/routing/tests/all/router.rs
+++ b/crates/routing/tests/all/router.rs
@@ -1,4 +1,4 @@
-//! The decision for one packet at a balancer.
+//! The routing decision for a packet at a balancer.
 
 use lovagelatch_domain::{AgentAddress, ConfigRevision, ServiceId};
 use lovagelatch_keys::{FleetKeys, FlowToken};
@@ -85,42 +85,42 @@
             forward(2, CLAIMS),
         ),
         case(
-            "the address has passed to another service since",
+            "the address has moved to another service",
             &claims,
             MAPS_ADDRESS,
             token(2, CLAIMS),
             forward(2, CLAIMS),
         ),
         case(
-            "the same, of an agent that no list names",
+            "the address has moved and no list names the agent",
             &claims,
             MAPS_ADDRESS,
             token(60, CLAIMS),
             forward(60, CLAIMS),
         ),
         case(
-            "the instance has passed to another service since",
+            "the instance has moved to another service",
             &claims,
             CLAIMS_ADDRESS,
             token(101, CLAIMS),
-            refuse(RouteRefusal::AgentElsewhere { flow: CLAIMS }),
+            refuse(RouteRefusal::AgentReassigned { flow: CLAIMS }),
         ),
         case(
-            "instance and address have passed to another service since",
+            "instance and address have moved to another service",
             &claims,
             MAPS_ADDRESS,
             token(101, CLAIMS),
-            refuse(RouteRefusal::AgentElsewhere { flow: CLAIMS }),
+            refuse(RouteRefusal::AgentReassigned { flow: CLAIMS }),
         ),
         case(
-            "the instance that both services list",
+            "an instance that both services list",
             &shared,
             CLAIMS_ADDRESS,
             token(101, CLAIMS),
             forward(101, CLAIMS),
         ),
         case(
-            "gone, and the address has passed to another service since",
+            "gone, and the address has moved to another service",
             &with_gone(&claims, 1, 50),
             MAPS_ADDRESS,
             token(50, CLAIMS),
@@ -142,7 +142,7 @@
             },
         ),
         case(
-            "gone, and nobody left to answer",
+            "gone, and no target left to answer",
             &with_gone(&claims, 0, 50),
             CLAIMS_ADDRESS,
             token(50, CLAIMS),
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_token_beats_the_view() {
+fn a_token_overrides_the_view() {
     let router = FlowRouter::new();
     for case in token_cases() {
         let packet = packet(case.address, &[5; 20], Some(case.token));
@@ -196,10 +196,10 @@
     );
 }
 
-/// Symptom: a feed breaks when its caller moves from one network to another. Sequence: a flow
-/// is open; the caller's address changes; the next packet reaches another balancer. Cause: a
-/// decision that depends on the caller's address or on what one balancer remembers. The packet
-/// view holds neither, so any balancer decides as the first did.
+/// Guards against feeds that break when their caller changes networks. With an open flow, the
+/// caller's address changes and the next packet reaches another balancer. A decision that depended
+/// on the caller's address or on state of one balancer would differ there. The packet view has
+/// neither, so all balancers make the same decision.
 #[test]
 fn every_balancer_sends_an_open_flow_to_one_agent() {
     let views = [
@@ -214,10 +214,10 @@
     }
 }
 
-/// Symptom: one handshake in two datagrams ends at two agents and stalls until a retransmission.
-/// Sequence: a large first flight comes as two Initials with one connection ID; the fabric gives
-/// them to two balancers. Cause: balancers that choose by anything but that ID. With views that
-/// differ by one target, only flows that one of the two would give to it are split.
+/// Guards against a handshake in two datagrams that is split between two agents and stalls until a
+/// retransmission. A large first flight consists of two Initials with the same connection ID, and
+/// the fabric delivers them to two balancers, which must choose by that ID alone. When their views
+/// differ by one target, only flows that one balancer places on that target are split.
 #[test]
 fn balancers_whose_views_differ_split_few_handshakes() {
     let (newer, older) = (table(&live(7)), table(&live(6)));
@@ -248,9 +248,9 @@
     assert!(differing.count() > 50);
 }
 
-/// Symptom: a caller fills one agent with flows. Sequence: it chooses connection IDs whose hash,
-/// known to everybody, leads there. Cause: a hash without a secret; or one that changes while a
-/// key is rotated, so that processes disagree.
+/// Guards against a caller that floods one agent with flows by choosing connection IDs whose hash
+/// leads there, which a hash without a secret would allow. The secret must not change while a key
+/// is rotated, or processes would disagree.
 #[test]
 fn routers_with_the_same_oldest_key_agree() {
     let ring = |numbers: &[u8]| {
@@ -275,11 +275,11 @@
     }
 }
 
-/// Symptom: callers of an agent that crashed hear nothing until peers have suspected it for
-/// long. Sequence: the agent's process ends; its host answers each packet that nobody listens.
-/// Cause: an answer that nobody reads.
+/// Guards against callers of a crashed agent getting no answer until peers have suspected the agent
+/// for long. After the process ends, its host returns each packet because no process listens there.
+/// The balancer must use these returned packets.
 #[test]
-fn a_packet_that_came_back_goes_to_another_agent() {
+fn a_returned_packet_goes_to_another_agent() {
     struct ReturnCase {
         name: &'static str,
         targets: u16,
@@ -292,7 +292,7 @@
         token,
         expected,
     };
-    let nobody = refuse(RouteRefusal::NoTarget { service: CLAIMS });
+    let no_target = refuse(RouteRefusal::NoTarget { service: CLAIMS });
     let reset = RouteDecision::Reset {
         agent: agent(1),
         service: CLAIMS,
@@ -300,22 +300,22 @@
     };
     let cases = [
         case("another is left", 2, Some(token(0, CLAIMS)), Some(reset)),
-        case("the only one", 1, Some(token(0, CLAIMS)), Some(nobody)),
-        case("no list", 0, Some(token(0, CLAIMS)), Some(nobody)),
+        case("the only one", 1, Some(token(0, CLAIMS)), Some(no_target)),
+        case("no list", 0, Some(token(0, CLAIMS)), Some(no_target)),
         case("a flow of another agent", 2, Some(token(1, CLAIMS)), None),
         case("a packet that opens a flow", 2, None, None),
     ];
     for case in cases {
         let packet = packet(CLAIMS_ADDRESS, &[5; 20], case.token);
         let table = table(&live(case.targets));
-        let decision = FlowRouter::new().return_packet(&packet, agent(0), &table);
+        let decision = FlowRouter::new().route_returned(&packet, agent(0), &table);
         assert_eq!(decision, case.expected, "{}", case.name);
     }
 }
 
 quickcheck! {
-    /// Claims lists agents 0 to 6, maps 100 to 102; agents 200 and above are on no list, and
-    /// compare the token's service with their own.
+    /// Claims has agents 0 to 6 and maps has agents 100 to 102. Agents 200 and above are not listed
+    /// and compare the token's service with their own.
     fn a_packet_never_reaches_another_service(key: Vec<u8>, number: u16, claims: bool) -> bool {
         let table = table(&live(7));
         let service = if claims { CLAIMS } else { MAPS };
@@ -346,9 +346,9 @@
     if wanted == CLAIMS { of_maps } else { of_claims }
 }
 
-/// Symptom: feeds that are open for hours break when an address is given to another service.
-/// Sequence: a flow of claims is open; its address moves to maps; balancers learn of it one after
-/// the other. Cause: a balancer that judges an open flow by what its address leads to now.
+/// Guards against long-lived feeds that break when an address moves to another service. A flow of
+/// claims is open while its address moves to maps, and the balancers learn of it one after another.
+/// An open flow must not be routed by the current service of its address.
 #[test]
 fn a_moved_address_breaks_no_open_flow() {
     let before = table(&live(3));
--- a/crates/routing/tests/all/support.rs
+++ b/crates/routing/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: keys, addresses, targets and packets.
+//! Shared helpers: keys, addresses, targets and packets.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -41,7 +41,7 @@
         .collect()
 }
 
-/// Claims at its address with these targets; maps at its own with agents 100 to 102.
+/// Builds a table with claims, which has these targets, and maps, which has agents 100 to 102.
 pub(crate) fn table(claims: &[RingTarget]) -> RoutingTable {
     let maps: Vec<RingTarget> = (100..103)
         .map(|number| target(number, 7, TargetStanding::Live))
--- a/crates/routing/tests/all/view.rs
+++ b/crates/routing/tests/all/view.rs
@@ -1,4 +1,4 @@
-//! Making a table from a view.
+//! Routing tables built from views.
 
 use std::sync::Arc;
 
@@ -7,7 +7,9 @@
     TargetRecord,
 };
 use lovagelatch_membership::{FleetView, TargetStanding};
-use lovagelatch_routing::{BUCKET_BOUND, RingTarget, RoutingTable, TableBuilder, ViewChange};
+use lovagelatch_routing::{
+    MAX_SCANNED_TARGETS, RingTarget, RoutingTable, TableBuilder, ViewChange,
+};
 use lovagelatch_settings::ServiceText;
 
 use crate::support::{CLAIMS_ADDRESS, MAPS_ADDRESS, OTHER_ADDRESS, agent, target};
@@ -75,11 +77,11 @@
     assert!(std::ptr::eq(one.expect("claims"), other.expect("claims")));
 }
 
-/// Symptom: a balancer goes on giving flows to a target that left, or loses a service's name and
-/// addresses. Sequence: one target of one service changes. Cause: a table that follows a change
-/// otherwise than the view.
+/// Guards against a balancer that still places flows on a removed target, or loses a service's name
+/// and addresses, after one target of a service changed. An incrementally changed table must equal
+/// the table of the whole view.
 #[test]
-fn following_a_change_gives_the_table_of_the_view() {
+fn a_changed_table_equals_the_table_of_the_view() {
     struct ChangeCase {
         name: &'static str,
         view: FleetView,
@@ -93,7 +95,7 @@
     );
     let cases = [
         ChangeCase {
-            name: "nothing",
+            name: "no change",
             view: before.clone(),
             services: 0,
         },
@@ -105,12 +107,12 @@
             services: 1,
         },
         ChangeCase {
-            name: "no targets any more",
+            name: "all targets removed",
             view: emptied,
             services: 2,
         },
         ChangeCase {
-            name: "no text any more",
+            name: "service text removed",
             view: FleetView::default(),
             services: 2,
         },
@@ -119,7 +121,7 @@
     for case in cases {
         let change = ViewChange::between(&before, &case.view);
         assert_eq!(change.services.len(), case.services, "{}", case.name);
-        let followed = table.follow(&case.view, &change);
+        let followed = table.with_change(&case.view, &change);
         let whole = RoutingTable::from_view(&case.view, &RoutingTable::default());
         for address in [CLAIMS_ADDRESS, MAPS_ADDRESS, OTHER_ADDRESS] {
             let (one, other) = (followed.ring_at(address), whole.ring_at(address));
@@ -134,10 +136,10 @@
     }
 }
 
-/// Services with more targets than a scan is quick for, each with an address of its own.
+/// Builds services with too many targets to be scanned for each flow.
 fn large_services(count: u16) -> RoutingTable {
     let earlier = RoutingTable::default();
-    let targets = u16::try_from(BUCKET_BOUND).expect("a small bound") * 2 + 6;
+    let targets = u16::try_from(MAX_SCANNED_TARGETS).expect("a small bound") * 2 + 6;
     let mut builder = TableBuilder::new(ConfigRevision(1), &earlier);
     for service in 0..count {
         let first = service * targets;
@@ -153,53 +155,56 @@
     table.ring_of(ServiceId(service))?.pick(key)
 }
 
-/// Symptom: a balancer's memory grows with every service that it has ever seen a flow of.
-/// Sequence: flows come to one service after the other. Cause: rows of buckets that are kept for
-/// good, or beyond their budget.
+/// Guards against a balancer whose memory grows with each service that ever received a flow.
+/// Bucket tables must be dropped when a service is idle and must stay within their budget.
 #[test]
-fn rows_are_kept_for_services_in_use_and_within_the_budget() {
-    const ROW_BYTES: usize = 4_096;
+fn bucket_tables_are_kept_for_services_in_use_and_within_the_budget() {
+    const TABLE_BYTES: usize = 4_096;
     let table = large_services(3);
-    assert!(table.tend(usize::MAX).is_none(), "no flow yet");
+    assert!(table.refresh_buckets(usize::MAX).is_none(), "no flow yet");
     let winners: Vec<_> = (0..3).map(|service| pick(&table, service, 9)).collect();
-    assert!(table.tend(0).is_none(), "no room");
+    assert!(table.refresh_buckets(0).is_none(), "no budget");
     for service in 0..3 {
         assert!(pick(&table, service, 9).is_some());
     }
-    let mut tended = table.tend(2 * ROW_BYTES).expect("room for two rows");
-    assert_eq!(tended.row_bytes(), 2 * ROW_BYTES);
+    let mut refreshed = table
+        .refresh_buckets(2 * TABLE_BYTES)
+        .expect("room for two bucket tables");
+    assert_eq!(refreshed.bucket_bytes(), 2 * TABLE_BYTES);
     for (service, winner) in (0..).zip(winners) {
-        assert_eq!(pick(&tended, service, 9), winner);
+        assert_eq!(pick(&refreshed, service, 9), winner);
     }
     for _ in 0..100 {
-        tended = tended.tend(2 * ROW_BYTES).unwrap_or(tended);
+        refreshed = refreshed
+            .refresh_buckets(2 * TABLE_BYTES)
+            .unwrap_or(refreshed);
     }
-    assert_eq!(tended.row_bytes(), 0, "no flow for long");
+    assert_eq!(refreshed.bucket_bytes(), 0, "idle services");
 }
 
-/// Symptom: new flows of a large service are slow for a second after each change. Sequence: one
-/// of its targets leaves. Cause: a row of buckets that is not made again with the change.
+/// Guards against slow placement of a large service's new flows for a second after each change of
+/// its targets. The bucket table must be rebuilt together with the change.
 #[test]
-fn a_change_keeps_the_row_of_a_service_in_use() {
+fn a_change_keeps_the_bucket_table_of_a_service_in_use() {
     let table = large_services(1);
     assert!(pick(&table, 0, 9).is_some());
-    let tended = table.tend(usize::MAX).expect("a row");
+    let refreshed = table.refresh_buckets(usize::MAX).expect("a bucket table");
     let fewer: Vec<RingTarget> = (0..30)
         .map(|n| target(n, 3, TargetStanding::Live))
         .collect();
-    let changed = TableBuilder::new(ConfigRevision(2), &tended)
+    let changed = TableBuilder::new(ConfigRevision(2), &refreshed)
         .with_service(ServiceId(0), [], &fewer[1..])
         .build();
-    assert_eq!(changed.row_bytes(), 4_096);
+    assert_eq!(changed.bucket_bytes(), 4_096);
 }
 
-/// An agent holds the targets of few services, and knows of every address whose it is.
+/// An agent has the targets of few services but the service of every address.
 #[test]
 fn a_table_of_some_services_holds_their_targets_and_all_addresses() {
     let view = view();
     let claims = view.service_at(CLAIMS_ADDRESS).expect("claims");
     let maps = view.service_at(MAPS_ADDRESS).expect("maps");
-    let table = RoutingTable::from_view_of(&[claims], &view, &RoutingTable::default());
+    let table = RoutingTable::from_view_for(&[claims], &view, &RoutingTable::default());
     assert_eq!(
         table.ring_at(CLAIMS_ADDRESS).map(|ring| ring.len()),
         Some(1)
@@ -211,11 +216,11 @@
     assert_eq!(table.ring_of(claims), all.ring_of(claims));
 }
 
-/// Symptom: a flow is refused though its agent serves it, or reaches an instance that has passed
-/// to another service. Sequence: an instance passes from claims to maps and back. Cause: a
-/// directory of agents that does not follow the lists.
+/// Guards against a flow that is refused although its agent serves it, or that reaches an instance
+/// of another service, after an instance moves from claims to maps and back. The agent directory
+/// must match the lists.
 #[test]
-fn an_instance_that_passes_is_listed_once() {
+fn an_instance_that_moves_is_listed_once() {
     let [claims, maps] = [ServiceId(1), ServiceId(2)];
     let one = [target(5, 3, TargetStanding::Live)];
     let mut table = RoutingTable::default();
@@ -225,7 +230,7 @@
             .with_service(claims, [], targets(of_claims))
             .with_service(maps, [], targets(of_maps))
             .build();
-        let found = [claims, maps].map(|service| table.is_elsewhere(agent(5), service));
+        let found = [claims, maps].map(|service| table.is_reassigned(agent(5), service));
         assert_eq!(found, [!of_claims && of_maps, of_claims && !of_maps]);
     }
 }
--- a/tests/matrix/src/flows/agent.rs
+++ b/tests/matrix/src/flows/agent.rs
@@ -5,7 +5,7 @@
 use lovagelatch_domain::{AgentAddress, ServiceId};
 use lovagelatch_keys::{FleetKeys, FlowToken, KeyGeneration, TOKEN_BYTES};
 use lovagelatch_routing::{
-    ArrivalDecision, ArrivalPacket, FlowHolding, FlowRouter, PacketView, RoutingTable,
+    ArrivalDecision, ArrivalPacket, FlowAdmission, FlowRouter, PacketView, RoutingTable,
 };
 use lovagelatch_wire::{ForwardHeader, open_forward, seal_forward};
 
@@ -115,7 +115,7 @@
         match decision {
             ArrivalDecision::Accept => self.take(parsed, packet, mechanisms),
             ArrivalDecision::Reset => self.reset(parsed, packet.flow_key, mechanisms),
-            ArrivalDecision::HandOn { agent } => {
+            ArrivalDecision::Forward { agent } => {
                 let header = ForwardHeader {
                     hops: header.hops + 1,
                     ..header
@@ -139,23 +139,23 @@
     ) -> ArrivalDecision {
         let opening = self.openings.get(packet.flow_key).copied();
         if let (None, Some(Opening::Peer(agent))) = (packet.token, opening) {
-            return ArrivalDecision::HandOn { agent };
+            return ArrivalDecision::Forward { agent };
         }
-        let holding = match opening {
-            Some(_) => FlowHolding::Begun,
-            None if self.leaving => FlowHolding::Leaving,
-            None => FlowHolding::Open,
+        let admission = match opening {
+            Some(_) => FlowAdmission::HandshakeStarted,
+            None if self.leaving => FlowAdmission::Leaving,
+            None => FlowAdmission::Accepting,
         };
         let arrival = ArrivalPacket {
             packet,
             service: header.service,
             revision: header.revision,
             hops: header.hops,
-            holding,
+            admission,
         };
         let own = self.start.agent;
-        let decision = FlowRouter::new().arrive(&arrival, own, self.service, &self.table);
-        let ArrivalDecision::HandOn { agent } = decision else {
+        let decision = FlowRouter::new().route_arrival(&arrival, own, self.service, &self.table);
+        let ArrivalDecision::Forward { agent } = decision else {
             if packet.token.is_none() && decision == ArrivalDecision::Accept {
                 self.openings
                     .insert(packet.flow_key.to_vec(), Opening::Here);
--- a/tests/matrix/src/leaving.rs
+++ b/tests/matrix/src/leaving.rs
@@ -17,7 +17,7 @@
     RequestGate, SlotOutcome,
 };
 use lovagelatch_routing::{
-    ArrivalDecision, ArrivalPacket, FlowHolding, FlowRouter, PacketView, RouteDecision,
+    ArrivalDecision, ArrivalPacket, FlowAdmission, FlowRouter, PacketView, RouteDecision,
     RoutingTable,
 };
 use rand::rngs::SmallRng;
@@ -356,24 +356,24 @@
         if !self.reaches(from, node) || self.rig.nodes[node].paused {
             return;
         }
-        let holding = match agent.leaving && self.mechanisms.hand_on {
-            true => FlowHolding::Leaving,
-            false => FlowHolding::Open,
+        let admission = match agent.leaving && self.mechanisms.hand_on {
+            true => FlowAdmission::Leaving,
+            false => FlowAdmission::Accepting,
         };
         let arrival = ArrivalPacket {
             packet,
             service: self.service,
             revision: self.rig.nodes[from].member.view().revision(),
             hops,
-            holding,
+            admission,
         };
         let table = self.table_of(node);
-        match FlowRouter::new().arrive(&arrival, to, self.service, &table) {
+        match FlowRouter::new().route_arrival(&arrival, to, self.service, &table) {
             ArrivalDecision::Accept => {
                 let now = self.rig.now;
                 self.history.note(now, MatrixEvent::WorkTaken(to));
             }
-            ArrivalDecision::HandOn { agent } => self.arrive(node, agent, packet, hops + 1),
+            ArrivalDecision::Forward { agent } => self.arrive(node, agent, packet, hops + 1),
             _ => {}
         }
     }
