--- a/crates/domain/src/instance.rs
+++ b/crates/domain/src/instance.rs
@@ -1,4 +1,4 @@
-//! Instances as the platform lists them.
+//! Instances as listed by the platform.
 
 use std::net::SocketAddrV4;
 
@@ -6,15 +6,15 @@
 
 use crate::{ServiceName, ZoneName};
 
-/// The platform's number for one backend server instance.
+/// The number that the platform assigns to a backend server instance.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct TargetId(pub u32);
 
-/// Where a process of the system listens for the system's other processes: one address that
-/// serves UDP frames and TCP streams alike.
+/// The address on which a process of the system, an agent or a balancer, listens for the other
+/// processes: one address for both UDP frames and TCP streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AgentAddress(pub SocketAddrV4);
@@ -25,70 +25,70 @@
     }
 }
 
-/// A random number drawn at each start of a process, so that a successor at the same address
-/// is never taken for its predecessor.
+/// A random number generated at each start of a process, so that a restarted process at the same
+/// address is not mistaken for the previous one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Whether new work may go to an instance.
+/// Whether an instance accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It takes new work.
+    /// The instance accepts new work.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// The instance is draining: it finishes its work in progress and accepts none.
     Leaving,
 }
 
-/// One backend server instance (a *target*) with the agent in the slot beside it.
+/// A backend server instance (a *target*) and the agent beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
-    /// The platform's number for it.
+    /// The platform's number for the instance.
     pub id: TargetId,
-    /// The one service it serves.
+    /// The one service that the target serves.
     pub service: ServiceName,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: ZoneName,
-    /// Where its agent listens for the system's other processes (UDP and TCP).
+    /// Where its agent listens for other processes of the system (UDP and TCP).
     pub agent: AgentAddress,
-    /// Where its agent serves health, status and metrics.
+    /// The agent's HTTP address for health, status and metrics.
     pub operations: SocketAddrV4,
-    /// How many requests its backend server runs at once. Invariant: at least 1.
+    /// How many requests the backend server runs concurrently. Invariant: at least 1.
     pub slots: u16,
-    /// Whether it takes new work.
+    /// Whether the instance accepts new work.
     pub state: InstanceState,
 }
 
-/// One entry instance running a balancer.
+/// An instance that runs a balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BalancerRecord {
-    /// Where the balancer listens for the system's other processes (UDP and TCP).
+    /// Where the balancer listens for other processes of the system (UDP and TCP).
     pub control: AgentAddress,
-    /// Where it serves health, status and metrics.
+    /// The balancer's HTTP address for health, status and metrics.
     pub operations: SocketAddrV4,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: ZoneName,
-    /// Whether it takes new work.
+    /// Whether the instance accepts new work.
     pub state: InstanceState,
 }
 
-/// The number of one state of the platform's instance list; it only grows.
+/// The revision of the platform's instance list. It increases monotonically.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct ListRevision(pub u64);
 
-/// The platform's lagging list of live and leaving instances.
+/// The platform's list of live and leaving instances. It lags behind the actual state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Its number.
+    /// Increases with every change of the list.
     pub revision: ListRevision,
-    /// The backend server instances, in order of their numbers.
+    /// The backend server instances, sorted by id.
     pub targets: Vec<TargetRecord>,
-    /// The entry instances.
+    /// The instances that run balancers.
     pub balancers: Vec<BalancerRecord>,
 }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,9 +1,9 @@
-//! Words shared by every part of lovagelatch.
+//! Domain types shared by every part of lovagelatch.
 //!
-//! Machines, zones, customers and back ends are named here once, in the users' words (see
-//! `docs/glossary.md`), so that a balancer, an agent and a test tool mean the same thing by
-//! *target*, *agency* or *revision*. The crate holds plain data: nothing in it reads a clock, a
-//! socket or a file, and every type can be serialized.
+//! Instances, zones, agencies and targets are defined here once, in the users' terms (see
+//! `docs/glossary.md`), so that a balancer, an agent and a test tool agree on what a *target*, an
+//! *agency* or a *revision* is. The crate holds plain data: nothing in it reads a clock, a socket
+//! or a file.
 
 mod instance;
 mod load;
@@ -24,10 +24,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The platform's number for one accepted configuration text.
+/// The revision number that the platform gives to an accepted configuration text.
 ///
-/// Revisions only grow. A process that has seen a revision never takes a lower one, whoever
-/// offers it, because a lower one can only come from a stale reader.
+/// Revisions increase monotonically. A process that has seen a revision rejects any lower one,
+/// regardless of its source, because a lower revision can only come from a stale reader.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/domain/src/load.rs
+++ b/crates/domain/src/load.rs
@@ -1,4 +1,4 @@
-//! What an agent tells its peers about its own gate.
+//! Load reports that an agent sends to its peers about its own gate.
 
 use std::time::Duration;
 
@@ -6,51 +6,53 @@
 
 use crate::{AgentAddress, Moment, ZoneName};
 
-/// Whether a gate takes new requests.
+/// Whether a gate admits new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GateCondition {
-    /// It does.
+    /// The gate admits requests.
     #[default]
     Open,
-    /// Its backend server is still starting; `remaining` is the expected rest of that.
+    /// The backend server is still starting.
     Warming {
-        /// Time until it takes requests.
+        /// The expected time until it accepts requests.
         remaining: Duration,
     },
-    /// It finishes what it has and takes nothing new.
+    /// The gate is draining: it finishes its requests in progress and admits no others.
     Leaving,
 }
 
-/// The load of one gate at one moment, counted where the slots are, so it is exact when made
-/// and only old, never wrong, when read.
+/// The load of one gate at one moment.
+///
+/// It is counted where the slots are, so it is exact when it is made. A reader may see a stale
+/// report, but never a wrong one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateReport {
-    /// How many requests its backend server runs at once.
+    /// How many requests the backend server runs concurrently.
     pub slots: u16,
-    /// How many it runs now. Invariant: at most `slots`.
+    /// How many requests are running. Invariant: at most `slots`.
     pub in_use: u16,
-    /// How many wait for a slot.
+    /// How many requests are waiting for a slot.
     pub queued: u32,
-    /// How long a request that came now would wait for a slot.
+    /// How long a request that arrived now would wait for a slot.
     pub expected_wait: Duration,
-    /// Mean time a request holds a slot.
+    /// The mean time that a request occupies a slot.
     pub service_time: Duration,
-    /// Whether it takes new requests.
+    /// Whether the gate admits new requests.
     pub condition: GateCondition,
 }
 
-/// A peer's newest report as this process holds it.
+/// The newest report of a peer that this process has received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerReport {
-    /// The peer.
+    /// The peer's address.
     pub agent: AgentAddress,
-    /// Its availability zone.
+    /// The peer's availability zone.
     pub zone: ZoneName,
-    /// What it said.
+    /// The load of the peer's gate.
     pub report: GateReport,
-    /// When this process received it, by its own clock.
+    /// When this process received the report, on its own clock.
     pub received: Moment,
-    /// Whether passive evidence (failed exchanges) says to avoid it.
+    /// Whether the peer should be avoided, judging by failed exchanges with it.
     pub suspected: bool,
 }
--- a/crates/domain/src/moment.rs
+++ b/crates/domain/src/moment.rs
@@ -1,14 +1,14 @@
-//! Time as the decision libraries see it: a number handed in, never a clock that is read.
+//! Time as the decision libraries see it: a value passed in. They never read a clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point on the caller's monotonic clock, in microseconds from an arbitrary start.
+/// An instant on the calling process's monotonic clock, in microseconds from an arbitrary origin.
 ///
-/// Decisions take a `Moment` as an argument so that tests can replay any
-/// sequence of events, including a process that wakes late.
+/// Decisions take a `Moment` as an argument so that tests can replay any sequence of events,
+/// including a process that was suspended and resumes late.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,28 +16,28 @@
 pub struct Moment(u64);
 
 impl Moment {
-    /// The start of the clock.
+    /// The origin of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// A moment `micros` microseconds after the start.
+    /// Returns the moment `micros` microseconds after the origin.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A moment `millis` milliseconds after the start.
+    /// Returns the moment `millis` milliseconds after the origin.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the origin.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Time from `earlier` to `self`, or zero when `earlier` is later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/domain/src/name.rs
+++ b/crates/domain/src/name.rs
@@ -1,4 +1,4 @@
-//! Names that operators write, checked once when they enter the system.
+//! Names written by operators. They are validated once, when they enter the system.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -10,28 +10,28 @@
 use siphasher::sip::SipHasher24;
 use thiserror::Error;
 
-/// The longest name that is accepted, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Fixed keys of the hash behind [`ServiceId`]: every process must compute the same number.
+/// Fixed keys of the [`ServiceId`] hash: every process must compute the same id.
 const SERVICE_ID_KEYS: (u64, u64) = (0x6c6f_7661_6765, 0x006c_6174_6368);
 
-/// Why a name was refused.
+/// Why a name was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NameError {
-    /// The name has no characters.
+    /// The name is the empty string.
     #[error("the name is empty")]
     Empty,
     /// The name is longer than [`MAX_NAME_BYTES`].
-    #[error("the name has {length} bytes, more than {MAX_NAME_BYTES}")]
+    #[error("the name is {length} bytes long; the limit is {MAX_NAME_BYTES}")]
     TooLong {
-        /// Its length in bytes.
+        /// The name's length in bytes.
         length: usize,
     },
-    /// The name holds something other than lower-case letters, digits, `-`, `_` or `.`.
-    #[error("the name holds {character:?}; use lower-case letters, digits, '-', '_' and '.'")]
+    /// The name contains a character other than a lower-case letter, a digit, `-`, `_` or `.`.
+    #[error("the name contains {character:?}; use lower-case letters, digits, '-', '_' and '.'")]
     BadCharacter {
-        /// The first such character.
+        /// The first invalid character.
         character: char,
     },
 }
@@ -57,13 +57,13 @@
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(try_from = "String", into = "String")]
         pub struct $name(
-            /// Invariant: passes `check_name`. Shared, because a view of 176,000 instances holds
-            /// each zone's and service's name thousands of times.
+            /// Invariant: passes `check_name`. Reference-counted, because a view of 176,000
+            /// instances holds each zone and service name thousands of times.
             Arc<str>,
         );
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -109,26 +109,26 @@
 }
 
 checked_name! {
-    /// A service as named in the operators' text, such as `claims`.
+    /// The name of a service in the configuration text, such as `claims`.
     ServiceName
 }
 checked_name! {
-    /// A rebate agency, or any customer whose share is kept apart from its rivals'.
+    /// The name of an agency: a customer whose share of the capacity is accounted separately.
     AgencyName
 }
 checked_name! {
-    /// An availability zone.
+    /// The name of an availability zone.
     ZoneName
 }
 checked_name! {
-    /// A region: zones that are near each other, under one law.
+    /// The name of a region: a group of nearby zones in one jurisdiction.
     RegionName
 }
 
-/// A short number for a [`ServiceName`], small enough to travel in every packet.
+/// A compact identifier of a [`ServiceName`], small enough to be carried in every packet.
 ///
-/// It is a hash, so no process has to hand numbers out. Two names of one text that share a
-/// number are a typed error of the text.
+/// It is a hash of the name, so no process has to assign ids. If two names in one configuration
+/// text have the same id, the text is rejected with a typed error.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -136,7 +136,7 @@
 pub struct ServiceId(pub u32);
 
 impl ServiceName {
-    /// The number that stands for this name in packets.
+    /// Returns the id that represents this name in packets.
     #[must_use]
     pub fn id(&self) -> ServiceId {
         let mut hasher = SipHasher24::new_with_keys(SERVICE_ID_KEYS.0, SERVICE_ID_KEYS.1);
--- a/crates/domain/src/outcome.rs
+++ b/crates/domain/src/outcome.rs
@@ -1,14 +1,14 @@
-//! How a request ends, as its caller is told.
+//! Request outcomes as they are reported to callers.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A number drawn for one attempt to run a request, by which its answer is matched.
+/// A random identifier of one attempt to run a request, used to match its answer.
 ///
-/// It is unique across the fleet (128 random bits), so an answer that arrives late or crossed
-/// can never be taken for another attempt's.
+/// It is unique across the fleet (128 random bits), so an answer that arrives late or at the
+/// wrong connection cannot be mistaken for the answer to another attempt.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,29 +21,29 @@
     }
 }
 
-/// Why a request was refused before anything of it ran.
+/// Why a request was refused before any part of it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// Every slot is in use and the queue holds as much as can be served in time.
+    /// Every slot is in use, and the queue is as long as can be served in time.
     Full,
-    /// The expected wait is longer than the request's deadline allows.
+    /// The expected wait exceeds the request's deadline.
     TooLate,
-    /// The agency already holds its fair share while others wait.
+    /// The agency already uses its fair share while other agencies are waiting.
     OverShare,
-    /// The instance is leaving.
+    /// The instance is draining and accepts no new requests.
     Leaving,
     /// The backend server is still starting.
     Warming,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     BudgetSpent,
-    /// No target of the service is known to be able to run it.
+    /// No known target of the service can run the request.
     NoTarget,
-    /// The backend server itself refused it.
+    /// The backend server refused the request.
     Shed,
-    /// The service is not one that this caller may reach here.
+    /// The caller may not reach this service here.
     WrongService,
-    /// The filing carries no ticket, or one that is not valid.
+    /// The request needs a request ticket and carries none, or an invalid one.
     TicketNeeded,
 }
 
@@ -51,21 +51,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// It ran once and its whole answer was delivered.
+    /// The request ran once and its complete answer was delivered.
     Done,
-    /// It did not run: it was never handed over, or the server refused it before its start.
+    /// The request did not run: it was never sent to a backend server, or the server refused it
+    /// before starting it.
     NotRun {
-        /// Why not.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back, worked out from the backlog.
+        /// How long to wait before retrying, computed from the backlog.
         retry_after: Duration,
     },
-    /// It may have run; nobody in the system can tell, and the system never sends it again.
+    /// The request may or may not have run. The system cannot tell and never retries it.
     Unknown,
 }
 
 impl RequestOutcome {
-    /// The word that callers see in the `lovagelatch-outcome` header.
+    /// Returns the value of the `lovagelatch-outcome` header.
     #[must_use]
     pub const fn header_value(&self) -> &'static str {
         match self {
--- a/crates/domain/tests/all/main.rs
+++ b/crates/domain/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! The words shared by all: names, numbers and moments.
+//! Tests of names, service ids and moments.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn names_are_checked_where_they_enter() {
+fn invalid_names_are_rejected() {
     let cases = [
         NameCase {
             text: "claims",
@@ -48,22 +48,21 @@
     assert_eq!(error, Some(NameError::TooLong { length }));
 }
 
-// Symptom: two builds of one version send each other's flows astray. Sequence: a release changes
-// the hash behind the service's number, old and new run side by side. Cause: the number is part
-// of the wire protocol but is not written down anywhere.
+// Guards against misrouted flows between two builds: the service id is part of the wire protocol,
+// so a release that changes its hash misroutes flows while old and new processes run side by side.
 #[test]
-fn the_numbers_of_names_never_change() {
+fn service_ids_are_stable() {
     let names = ["claims", "certificates", "reports", "maps"];
-    let numbers = names.map(|name| name.parse::<ServiceName>().unwrap().id().0);
-    assert_eq!(numbers, NUMBERS);
-    let distinct: HashSet<u32> = numbers.into_iter().collect();
+    let ids = names.map(|name| name.parse::<ServiceName>().unwrap().id().0);
+    assert_eq!(ids, SERVICE_IDS);
+    let distinct: HashSet<u32> = ids.into_iter().collect();
     assert_eq!(distinct.len(), names.len());
 }
 
-const NUMBERS: [u32; 4] = [163_821_759, 4_268_277_311, 3_712_493_487, 2_393_167_281];
+const SERVICE_IDS: [u32; 4] = [163_821_759, 4_268_277_311, 3_712_493_487, 2_393_167_281];
 
 #[test]
-fn moments_never_wrap() {
+fn moment_arithmetic_saturates() {
     let late = Moment::from_micros(u64::MAX);
     assert_eq!(late + Duration::MAX, late);
     assert_eq!(Moment::ZERO - Duration::from_secs(1), Moment::ZERO);
@@ -75,7 +74,7 @@
 }
 
 quickcheck! {
-    fn a_name_survives_the_wire_or_is_refused(text: String) -> bool {
+    fn names_round_trip_or_are_rejected(text: String) -> bool {
         let bytes = postcard::to_stdvec(&text).unwrap();
         match (text.parse::<ServiceName>(), postcard::from_bytes::<ServiceName>(&bytes)) {
             (Ok(parsed), Ok(received)) => parsed == received,
