--- a/bins/balancer/src/opaque/catalog.rs
+++ b/bins/balancer/src/opaque/catalog.rs
@@ -132,8 +132,8 @@
                 CatalogAction::Publish { catalog, changes } => {
                     let now = self.state.packets.clock.now();
                     let mut builder = self.state.builder.lock();
-                    builder.take_changes(&catalog, &changes, now);
-                    let without_region = builder.take_without_region();
+                    builder.apply_changes(&catalog, &changes, now);
+                    let without_region = builder.take_zones_without_region();
                     drop(builder);
                     for zone in without_region {
                         warn!(self.state.log,
@@ -172,15 +172,15 @@
             .set_stops_known_since(stops_since);
         let mut builder = self.state.builder.lock();
         builder.set_informed(informed);
-        builder.set_returned(returned);
-        builder.set_zones_since(zones_since);
+        builder.set_store_recovered_at(returned);
+        builder.set_zones_read_at(zones_since);
         if cut_off != builder.is_cut_off() {
             builder.set_cut_off(cut_off);
             info!(self.state.log, "touch with the fleet changed";
                 "decision" => DecisionKind::ZoneChanged, "cut_off" => cut_off);
         }
         if let Some(at) = trouble {
-            builder.note_trouble(at);
+            builder.record_store_failure(at);
         }
         ready
     }
@@ -221,7 +221,7 @@
     fn publish_if_due(&self) {
         let now = self.state.packets.clock.now();
         let builder = self.state.builder.lock();
-        let ended = builder.next_lapse_end().is_some_and(|end| end <= now);
+        let ended = builder.next_target_expiry().is_some_and(|end| end <= now);
         let coverage = builder.coverage(now);
         let cut_off = builder.is_cut_off();
         drop(builder);
--- a/crates/flows/benches/decision.rs
+++ b/crates/flows/benches/decision.rs
@@ -69,7 +69,7 @@
         zones_revision: 1,
         evacuated: Arc::default(),
     };
-    builder.take(&catalog, Moment::ZERO);
+    builder.apply(&catalog, Moment::ZERO);
     builder.build(Moment::ZERO)
 }
 
--- a/crates/flows/benches/memory.rs
+++ b/crates/flows/benches/memory.rs
@@ -118,7 +118,7 @@
         flow_lifetime: Duration::from_secs(60),
     });
     let start = Instant::now();
-    builder.take(tables.catalog(), Moment::ZERO);
+    builder.apply(tables.catalog(), Moment::ZERO);
     let view = builder.build(Moment::ZERO);
     let held = HELD.load(Ordering::Relaxed) - before;
     let counts = view.counts();
@@ -151,7 +151,7 @@
         taken += start.elapsed();
         let start = Instant::now();
         let changes = tables.take_changes();
-        builder.take_changes(tables.catalog(), &changes, Moment::ZERO);
+        builder.apply_changes(tables.catalog(), &changes, Moment::ZERO);
         view = builder.build(Moment::ZERO);
         built += start.elapsed();
     }
--- a/crates/flows/src/agent.rs
+++ b/crates/flows/src/agent.rs
@@ -21,9 +21,9 @@
 use self::warmup::WarmupGate;
 use self::zone::ZoneState;
 use crate::delegated_search::DelegatedSearches;
+use crate::explain::{FlowStatus, millis};
 use crate::flow_table::FlowTable;
 use crate::frame::{FlowEvent, FlowUpdate, LoadReport, PacketFrame, ZoneNotice};
-use crate::outlook::{HeldFlow, millis};
 use crate::packet::FlowKey;
 
 /// Maximum number of flows remembered. A target holds about 2,000; the rest are closed ones.
@@ -284,9 +284,9 @@
 
     /// Returns the state of a flow; `None` if the target is not known to hold it.
     #[must_use]
-    pub fn explain(&self, flow: &FlowKey, now: Moment) -> Option<HeldFlow> {
+    pub fn explain(&self, flow: &FlowKey, now: Moment) -> Option<FlowStatus> {
         let entry = self.flows.get(flow)?;
-        Some(HeldFlow {
+        Some(FlowStatus {
             state: match entry.state {
                 EntryState::Offered => "offered",
                 EntryState::Answered => "answered",
--- a/crates/flows/src/balancer.rs
+++ b/crates/flows/src/balancer.rs
@@ -361,7 +361,7 @@
         }
         let mut targets = view.service(report.service)?.targets().iter();
         let target = targets.find(|target| target.agent == report.agent)?;
-        view.zones.notice_of(target.zone, now)
+        view.zones.notice_for(target.zone, now)
     }
 
     /// Returns when [`due_offers`](Self::due_offers) or [`due_searches`](Self::due_searches) has
--- a/crates/flows/src/balancer/holders.rs
+++ b/crates/flows/src/balancer/holders.rs
@@ -7,21 +7,21 @@
 
 use super::entry::{FlowSearch, PendingQuery, SearchPhase, ServiceAgent};
 use crate::packet::FlowPacket;
-use crate::ring::{CANDIDATES, FlowTarget, ServiceTargets};
+use crate::ring::{FlowTarget, SEARCH_CANDIDATES, ServiceTargets};
 use crate::view::{FlowRoute, FlowView};
 
 /// Up to this many agents are all queried at once; in larger fleets the flow's candidates go first.
-const SINGLE_PHASE_AGENTS: usize = CANDIDATES;
+const SINGLE_PHASE_AGENTS: usize = SEARCH_CANDIDATES;
 
 /// How long a target may still hold flows after its entry vanished from the store: the store lists
 /// a living target again within two seconds.
 const VANISHED_WINDOW: Duration = Duration::from_secs(3);
 
 /// Targets that may hold a flow.
-pub(crate) type HolderList<'v> = SmallVec<[&'v FlowTarget; CANDIDATES]>;
+pub(crate) type HolderList<'v> = SmallVec<[&'v FlowTarget; SEARCH_CANDIDATES]>;
 
 /// Agents that are shown a packet.
-pub(super) type QueriedAgents = SmallVec<[ServiceAgent; CANDIDATES]>;
+pub(super) type QueriedAgents = SmallVec<[ServiceAgent; SEARCH_CANDIDATES]>;
 
 impl FlowSearch {
     /// Adds targets to the queried ones, one for each agent that has not been queried. A target
@@ -56,12 +56,12 @@
         view: &FlowView,
         now: Moment,
     ) {
-        let Some(homes) = &route.homes else {
+        let Some(regions) = &route.regions else {
             return;
         };
         let before = targets.len();
-        targets.retain(|target| view.may_be_shown(route, target, now));
-        self.holder_excluded |= targets.len() < before && now < homes.settled;
+        targets.retain(|target| view.may_receive_packet(route, target, now));
+        self.holder_excluded |= targets.len() < before && now < regions.former_until;
     }
 
     /// Returns those of `targets` whose agents have not been queried yet.
@@ -76,7 +76,7 @@
 
 /// Returns whether a target is likely enough to live that its answer is waited for.
 fn is_likely_alive(target: &FlowTarget, now: Moment) -> bool {
-    target.may_live() || now.since(target.since) < VANISHED_WINDOW
+    target.may_be_alive() || now.since(target.standing_since) < VANISHED_WINDOW
 }
 
 /// Starts a search: with all possible holders in a small fleet, else with the flow's candidates.
@@ -136,7 +136,7 @@
 
 /// Returns the targets that are likely to live, of all services that the configuration names.
 fn likely_targets(view: &FlowView, now: Moment) -> impl Iterator<Item = &FlowTarget> {
-    let targets = view.named_rings().flat_map(ServiceTargets::targets);
+    let targets = view.configured_rings().flat_map(ServiceTargets::targets);
     targets.filter(move |target| is_likely_alive(target, now))
 }
 
--- a/crates/flows/src/balancer/offer.rs
+++ b/crates/flows/src/balancer/offer.rs
@@ -9,7 +9,9 @@
 use crate::frame::{Candidate, FramePurpose, PacketFrame};
 use crate::load::LoadTable;
 use crate::packet::{FlowKey, FlowPacket};
-use crate::ring::{CANDIDATES, FlowStanding, FlowTarget, PLACES, ServiceTargets};
+use crate::ring::{
+    FlowStanding, FlowTarget, PLACEMENT_CANDIDATES, SEARCH_CANDIDATES, ServiceTargets,
+};
 use crate::view::{FlowRoute, FlowView};
 
 impl FlowBalancer {
@@ -136,7 +138,7 @@
             frame: PacketFrame {
                 slots: chosen.slots,
                 warmup: view.warmup_of(chosen, now),
-                zones_revision: view.zones.vouched_revision(),
+                zones_revision: view.zones.confirmed_revision(),
                 rest,
                 ..PacketFrame::new(FramePurpose::Offer, chosen.service, self.own_address)
             },
@@ -204,20 +206,20 @@
         view: &'v FlowView,
         point: u64,
         now: Moment,
-    ) -> SmallVec<[(f32, &'v FlowTarget); CANDIDATES]> {
+    ) -> SmallVec<[(f32, &'v FlowTarget); SEARCH_CANDIDATES]> {
         let Some(targets) = view.service(service) else {
             return SmallVec::new();
         };
         let loads = self.loads.lock();
-        let mut ranked: SmallVec<[(u8, f32, &FlowTarget); CANDIDATES]> = SmallVec::new();
-        for target in targets.following(point) {
+        let mut ranked: SmallVec<[(u8, f32, &FlowTarget); SEARCH_CANDIDATES]> = SmallVec::new();
+        for target in targets.clockwise_from(point) {
             let is_known = ranked
                 .iter()
                 .any(|(_, _, known)| known.agent == target.agent);
             if is_known || tried.iter().any(|other| other.agent == target.agent) {
                 continue;
             }
-            if ranked.len() == PLACES {
+            if ranked.len() == PLACEMENT_CANDIDATES {
                 break;
             }
             if let Some(tier) = tier_of(target, route, view, &loads, now) {
@@ -273,7 +275,8 @@
     let rings = shares.filter_map(|(service, _)| view.service(*service));
     let mut targets = rings.flat_map(ServiceTargets::targets);
     let is_evacuated = |target: &FlowTarget| {
-        let serves = target.standing == FlowStanding::Serving && view.is_home(route, target);
+        let serves =
+            target.standing == FlowStanding::Serving && view.allows_new_flows(route, target);
         serves && view.zones.is_evacuated(target.zone)
     };
     if targets.any(is_evacuated) {
@@ -292,7 +295,7 @@
     now: Moment,
 ) -> Option<u8> {
     let zones = &view.zones;
-    if !view.is_home(route, target) {
+    if !view.allows_new_flows(route, target) {
         return None;
     }
     if zones.is_evacuated(target.zone) || loads.knows_evacuated(target.agent, zones.revision) {
@@ -303,7 +306,7 @@
         FlowStanding::Serving | FlowStanding::Lapsed => Some(1),
         FlowStanding::Unreadable => None,
         FlowStanding::Leaving => {
-            let recent = now.since(target.since) < LAST_RESORT_WINDOW;
+            let recent = now.since(target.standing_since) < LAST_RESORT_WINDOW;
             (recent && target.listed).then_some(2)
         }
     }
--- a/crates/flows/src/balancer/relay.rs
+++ b/crates/flows/src/balancer/relay.rs
@@ -57,5 +57,5 @@
 
 /// Returns possible relays in an order that depends on the flow, which spreads flows over relays.
 fn relay_candidates(ring: &ServiceTargets, point: u64) -> impl Iterator<Item = &FlowTarget> {
-    ring.following(point).filter(|target| target.listed)
+    ring.clockwise_from(point).filter(|target| target.listed)
 }
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -244,7 +244,7 @@
             SearchPhase::Retried => {
                 search
                     .pending
-                    .retain(|query| view.may_live_beside(query.holder.agent));
+                    .retain(|query| view.may_have_live_target(query.holder.agent));
                 self.heard_since_query(search)
             }
             SearchPhase::Inconclusive | SearchPhase::Abandoned => return None,
@@ -316,7 +316,7 @@
         } = search;
         pending.retain(|query| {
             let agent = query.holder.agent;
-            if loads.is_gone(agent, GONE_TIMEOUT, now) && !view.may_live_beside(agent) {
+            if loads.is_gone(agent, GONE_TIMEOUT, now) && !view.may_have_live_target(agent) {
                 return false;
             }
             let is_unreachable = *idempotent && loads.is_silent(agent, UNREACHABLE_TIMEOUT, now);
--- a/crates/flows/src/balancer/search_frames.rs
+++ b/crates/flows/src/balancer/search_frames.rs
@@ -19,7 +19,7 @@
 use crate::frame::{DelegatedSearch, FramePurpose, PacketFrame, PeerFrame, SearchGroup};
 use crate::load::LoadTable;
 use crate::packet::FlowKey;
-use crate::ring::CANDIDATES;
+use crate::ring::SEARCH_CANDIDATES;
 
 /// From this many agents on, delegates query the others. Below, the balancer's own datagrams cost
 /// less than the additional hop.
@@ -68,8 +68,8 @@
         let packet_bytes = search.bytes.len();
         let direct_bytes = agents.len() * (packet_bytes + FRAME_OVERHEAD_BYTES);
         let few = agents.len() < MIN_DELEGATED_AGENTS;
-        let cheap =
-            agents.len() <= CANDIDATES && self.budget.try_spend_direct(direct_bytes, self.now);
+        let cheap = agents.len() <= SEARCH_CANDIDATES
+            && self.budget.try_spend_direct(direct_bytes, self.now);
         if few || cheap {
             mark_direct(search, &agents);
             let frames = agents
@@ -133,7 +133,7 @@
                 .iter()
                 .any(|query| query.delegate == Some(agent))
         };
-        let not_failed: SmallVec<[ServiceAgent; CANDIDATES]> = agents
+        let not_failed: SmallVec<[ServiceAgent; SEARCH_CANDIDATES]> = agents
             .iter()
             .filter(|holder| !failed(holder.agent))
             .copied()
@@ -142,7 +142,7 @@
             let heard = self.loads.last_healthy_report(holder.agent);
             heard.is_some_and(|heard| self.now.since(heard) < DELEGATE_WINDOW)
         };
-        let mut eligible: SmallVec<[ServiceAgent; CANDIDATES]> =
+        let mut eligible: SmallVec<[ServiceAgent; SEARCH_CANDIDATES]> =
             not_failed.iter().filter(heard_recently).copied().collect();
         if eligible.len() < delegate_count {
             eligible = if not_failed.len() < delegate_count {
--- a/crates/flows/src/explain.rs
+++ b/crates/flows/src/explain.rs
@@ -1,4 +1,4 @@
-//! What a process knows of one flow, for operators.
+//! Explains to operators what a process knows about one flow.
 
 use std::time::Duration;
 
@@ -10,60 +10,61 @@
 use crate::ring::{FlowStanding, FlowTarget};
 use crate::view::{FlowView, ViewCoverage};
 
-/// A target that a flow may be at, or be placed at.
+/// A target that may hold a flow, or where the flow may be placed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct CandidateOutlook {
-    /// The agent beside it.
+pub struct CandidateExplanation {
+    /// The address of the agent beside the target.
     pub agent: AgentAddress,
-    /// Whether it may be given new flows.
+    /// Whether the target accepts new flows: its [`FlowStanding`] in lower case.
     pub standing: &'static str,
-    /// Whether the store lists it.
+    /// Whether the store lists the target.
     pub listed: bool,
-    /// Whether it is in the balancer's zone.
+    /// Whether the target is in the balancer's zone.
     pub near: bool,
-    /// Whether its zone is evacuated, so that it gets no new flows.
+    /// Whether the target's zone is evacuated, so that it gets no new flows.
     pub evacuated: bool,
-    /// How many requests it runs at once.
+    /// How many requests the target runs concurrently.
     pub slots: u16,
-    /// Requests in progress by its last report; `None` before any.
+    /// Requests in progress according to its last load report; `None` before the first report.
     pub in_progress: Option<u16>,
-    /// How old that report is, in milliseconds.
+    /// The age of that report, in milliseconds.
     pub load_age_ms: Option<u64>,
-    /// Whether it is passed over for new flows by what this balancer has seen of it.
+    /// Whether this balancer avoids the target for new flows, based on what it has observed.
     pub suspected: bool,
 }
 
-/// What a balancer knows of one flow.
+/// What a balancer knows about one flow.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct FlowOutlook {
-    /// The operator's number for the configuration in force.
+pub struct FlowExplanation {
+    /// The version of the active configuration, as numbered by the operator.
     pub version: u64,
-    /// The route of its address; `None` where no route has it.
+    /// The name of the flow's route; `None` if no route has its service address.
     pub route: Option<String>,
-    /// The service that a new flow from there goes to.
+    /// The service that a new flow with this key is sent to.
     pub service: Option<String>,
-    /// Where the flow is taken to be; `None` where this balancer would have to search for it.
+    /// The agent that holds the flow according to this balancer; `None` if it would have to search
+    /// for the flow.
     pub agent: Option<AgentAddress>,
-    /// Whether the view holds every living target, so that a search that finds nobody is proof; if
-    /// not, why.
+    /// Whether the view includes every live target, so that a search without a result proves the
+    /// flow lost; otherwise the reason for doubt.
     pub coverage: ViewCoverage,
-    /// How many agents would be asked for it if its candidates did not hold it.
+    /// How many agents would be queried if none of the candidates held the flow.
     pub holders: usize,
-    /// Who is asked for it, nearest on the ring first; the first ten are those that it may be
-    /// placed at.
-    pub candidates: Vec<CandidateOutlook>,
+    /// The targets that are queried for the flow, nearest on the ring first. A new flow may be
+    /// placed at the first ten of them.
+    pub candidates: Vec<CandidateExplanation>,
 }
 
 impl FlowBalancer {
-    /// What is known of a flow.
+    /// Returns what this balancer knows about a flow, including its candidates.
     #[must_use]
-    pub fn explain(&self, flow: &FlowKey, view: &FlowView, now: Moment) -> FlowOutlook {
+    pub fn explain(&self, flow: &FlowKey, view: &FlowView, now: Moment) -> FlowExplanation {
         let route = view.route(flow);
         let service = route.and_then(|route| route.service_for(flow.point()));
         let ring = service.and_then(|service| view.service(service));
         let candidates = ring.map(|ring| ring.candidates(flow.point()));
         let candidates = candidates.into_iter().flatten();
-        FlowOutlook {
+        FlowExplanation {
             version: view.version.0,
             route: route.map(|route| route.name.clone()),
             service: service.map(|service| view.service_name(service).to_owned()),
@@ -71,23 +72,23 @@
             coverage: view.coverage,
             holders: possible_holders(view, now).len(),
             candidates: candidates
-                .map(|target| self.candidate_outlook(target, view, now))
+                .map(|target| self.explain_candidate(target, view, now))
                 .collect(),
         }
     }
 
-    fn candidate_outlook(
+    fn explain_candidate(
         &self,
         target: &FlowTarget,
         view: &FlowView,
         now: Moment,
-    ) -> CandidateOutlook {
+    ) -> CandidateExplanation {
         let loads = self.loads();
         let load = loads.load(target.agent);
         let load = load.filter(|load| load.last_heard > Moment::ZERO);
-        CandidateOutlook {
+        CandidateExplanation {
             agent: target.agent,
-            standing: standing_word(target.standing),
+            standing: standing_name(target.standing),
             listed: target.listed,
             near: view.zones.is_near(target.zone),
             evacuated: view.zones.is_evacuated(target.zone),
@@ -99,20 +100,21 @@
     }
 }
 
-/// What an agent knows of one flow.
+/// What an agent knows about one flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct HeldFlow {
-    /// How far it has come at the target.
+pub struct FlowStatus {
+    /// The state of the flow at the target.
     pub state: &'static str,
-    /// The balancer that sent its last packet; `None` where only the target's were seen.
+    /// The balancer that sent the flow's last packet; `None` if only packets from the target were
+    /// seen.
     pub balancer: Option<AgentAddress>,
-    /// How long ago its last packet came, in milliseconds.
+    /// Time since the flow's last packet, in milliseconds.
     pub silent_ms: u64,
-    /// For how long the target has owed an answer, in milliseconds; `None` when it owes none.
+    /// How long the target has owed a response, in milliseconds; `None` if no response is pending.
     pub waiting_ms: Option<u64>,
 }
 
-fn standing_word(standing: FlowStanding) -> &'static str {
+fn standing_name(standing: FlowStanding) -> &'static str {
     match standing {
         FlowStanding::Serving => "serving",
         FlowStanding::Lapsed => "lapsed",
@@ -121,6 +123,6 @@
     }
 }
 
-pub(crate) fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+pub(crate) fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/flows/src/lib.rs
+++ b/crates/flows/src/lib.rs
@@ -1,27 +1,28 @@
-//! Decisions about flows whose packets are opaque: nothing that the system chooses comes back in
-//! them, so the four addresses and ports are all that names a flow.
+//! Decisions about flows of opaque packets. Such packets carry nothing that the system has chosen,
+//! so a flow is identified by its source and destination addresses and ports alone.
 //!
-//! This library decides; it reads no clock, opens no socket and starts no thread. Packets, frames
-//! and the time come in, packets to send come out.
+//! This library only makes decisions: it reads no clock, opens no socket and starts no thread. Its
+//! inputs are packets, frames and the time; its outputs are packets and frames to send.
 //!
 //! ```text
 //! caller --> FlowBalancer --PacketFrame--> FlowAgent --> backend server
 //!    ^           ^                          |   |             |
-//!    |           +---- notes, load ---------+   +--- rest ---> next agent
-//!    +-------------------- straight back ---------------------+
+//!    |           +--- updates, load --------+   +--- rest ---> next agent
+//!    +------------------- direct return ----------------------+
 //! ```
 //!
-//! The truth about a flow is its target: it holds the flow or returns the packet. The agent
-//! beside it sees every packet both ways and remembers. A balancer's memory is only a cache: lost,
-//! stale or absent, it costs a question to a few agents, never a flow.
+//! The target is authoritative for a flow: it either holds the flow or returns the packet. The
+//! agent beside it sees every packet in both directions and tracks the flow. A balancer's flow
+//! table is only a cache: a lost, stale or absent entry costs a query to a few agents, never a
+//! flow.
 
 mod agent;
 mod balancer;
 mod delegated_search;
+mod explain;
 mod flow_table;
 mod frame;
 mod load;
-mod outlook;
 mod packet;
 mod ring;
 mod view;
@@ -33,16 +34,19 @@
     BalancerStep, DueOffer, DueSearch, FlowBalancer, FlowReset, LossReason, PlacedFlow,
     RefusalReason, SearchFrames, UpdateOutcome,
 };
+pub use explain::{CandidateExplanation, FlowExplanation, FlowStatus};
 pub use frame::{
     Candidate, DelegatedSearch, FlowEvent, FlowUpdate, FrameError, FramePurpose, LoadReport,
     PacketFrame, PeerFrame, SearchGroup, SearchResult, WarmupLimit, ZoneNotice, is_relayable,
     read_frame, write_frame, write_relay_frame,
 };
 pub use load::{LoadTable, TargetLoad};
-pub use outlook::{CandidateOutlook, FlowOutlook, HeldFlow};
 pub use packet::{FlowKey, FlowPacket, PacketFlags};
-pub use ring::{CANDIDATES, FlowStanding, FlowTarget, NameKey, PLACES, ServiceTargets, TargetKey};
+pub use ring::{
+    FlowStanding, FlowTarget, NameKey, PLACEMENT_CANDIDATES, SEARCH_CANDIDATES, ServiceTargets,
+    TargetKey,
+};
 pub use view::{
-    FlowRoute, FlowView, FlowViewBuilder, RegionIndex, RouteHomes, ViewCoverage, ViewDoubt,
-    ViewSettings, ZoneIndex, ZoneOutlook,
+    DoubtReason, FlowRoute, FlowView, FlowViewBuilder, RegionIndex, RouteRegions, ViewCoverage,
+    ViewSettings, ZoneIndex, ZoneTable,
 };
--- a/crates/flows/src/ring.rs
+++ b/crates/flows/src/ring.rs
@@ -1,14 +1,15 @@
-//! The targets of one service, and which of them a flow may live at.
+//! The targets of one service, and which of them may hold a flow.
 //!
-//! Every target has a point on a ring, and so has every flow. A new flow is placed at one of the
-//! [`PLACES`] targets that follow its point; which one, load decides. So a balancer that has
-//! never heard of a flow need not ask everybody: it walks those few, the same in every process
-//! whose view is the same, and a target that comes or goes shifts them by one.
+//! Every target and every flow has a point on a ring. A new flow is placed at one of the
+//! [`PLACEMENT_CANDIDATES`] targets that follow its point, selected by load. A balancer that does
+//! not know a flow therefore queries only the few targets after its point instead of all of them.
+//! These are the same in every process with the same view, and a target that joins or leaves
+//! shifts them by one.
 //!
 //! ```text
 //! ring:  t4 . . flow . t1 . t7 . t2 . t9 . t3 . t8
-//!                      \____________/  places of a new flow
-//!                      \_______________________/  candidates: who is asked for it
+//!                      \____________/  placement candidates of a new flow
+//!                      \_______________________/  search candidates: queried for an unknown flow
 //! ```
 
 use std::hash::Hasher;
@@ -20,24 +21,24 @@
 
 use crate::view::ZoneIndex;
 
-/// How many targets a new flow may be placed at. Enough that the best of them by load is about as
-/// good as the best of all.
-pub const PLACES: usize = 10;
+/// How many targets a new flow may be placed at: enough that the least loaded of them is about as
+/// good as the least loaded of all.
+pub const PLACEMENT_CANDIDATES: usize = 10;
 
-/// How many targets are asked for an unknown flow: so many more than it may be placed at that some
-/// may have joined in between since.
-pub const CANDIDATES: usize = 16;
+/// How many targets are queried for an unknown flow. More than [`PLACEMENT_CANDIDATES`], because
+/// targets may have joined between them since the flow was placed.
+pub const SEARCH_CANDIDATES: usize = 16;
 
-/// Fixed keys of [`TargetKey`]: every process must compute the same number.
+/// Fixed keys of the [`TargetKey`] hash: every process must compute the same key.
 const TARGET_KEYS: (u64, u64) = (0x7461_7267_6574, 0x6b65_7900);
 
-/// A number for one start of one backend server, and its point on the ring.
+/// The hash that identifies one start of one backend server. It is also its point on the ring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetKey(pub u64);
 
 impl TargetKey {
-    /// The number of a start of the target with this name. Another start under the same name is
-    /// another target: it holds nothing of the former one's flows, and is slow again.
+    /// Returns the key of one start of the target with this name. After a restart under the same
+    /// name it is a different target: it holds none of the previous one's flows and is cold again.
     #[must_use]
     pub fn of(name: &str, start: TargetStart) -> Self {
         let mut hasher = SipHasher13::new_with_keys(TARGET_KEYS.0, TARGET_KEYS.1);
@@ -49,63 +50,64 @@
     }
 }
 
-/// A number for a name in the store, whichever start of a target it is of.
+/// The hash of a target's name in the store, the same for every start of the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NameKey(pub u64);
 
 impl NameKey {
-    /// The number of a name.
+    /// Returns the key of a name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(TargetKey::of(name, TargetStart::default()).0)
     }
 }
 
-/// Whether a target may be given new flows.
+/// Whether a target may get new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FlowStanding {
-    /// It may.
+    /// The target accepts new flows.
     Serving,
-    /// Its entry vanished while the store had trouble, which proves nothing yet.
+    /// Its entry disappeared during a store failure, which does not yet prove that it is gone.
     Lapsed,
-    /// Its entry cannot be read: it is no target to use, and may live all the same.
+    /// Its entry cannot be read. The target is unusable, but it may still be alive.
     Unreadable,
-    /// It has announced that it will stop, or is gone; it may still hold flows.
+    /// It is draining, or it is gone. It may still hold flows.
     Leaving,
 }
 
-/// One target of a view.
+/// A target in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowTarget {
-    /// Its number.
+    /// Identifies this start of the target.
     pub key: TargetKey,
-    /// The number of its name.
+    /// Identifies the target across restarts.
     pub name: NameKey,
-    /// The agent beside it.
+    /// The address of the agent beside the target.
     pub agent: AgentAddress,
-    /// Its service.
+    /// The service that the target belongs to.
     pub service: ServiceId,
-    /// Whether the store lists it.
+    /// Whether the store lists the target.
     pub listed: bool,
-    /// Its zone.
+    /// The target's availability zone.
     pub zone: ZoneIndex,
-    /// How many requests it runs at once. Invariant: at least 1.
+    /// How many requests the target runs concurrently. Invariant: at least 1.
     pub slots: u16,
-    /// Whether it may be given new flows.
+    /// Whether the target may get new flows.
     pub standing: FlowStanding,
-    /// When the standing was last changed, or the target first seen.
-    pub since: Moment,
-    /// How long it was to be slow still, in milliseconds, by the record that was taken last.
+    /// When the standing last changed, or when the target was first seen.
+    pub standing_since: Moment,
+    /// The remaining warm-up time, in milliseconds, according to the last record applied.
     pub warming_ms: u32,
-    /// Until when it is slow after its start.
+    /// When the warm-up after the target's start ends.
     pub warm_at: Moment,
 }
 
 impl FlowTarget {
-    /// Whether the store leaves it open that the target lives: it lists it, or has an entry that cannot
-    /// be read, or lost the entry in its own trouble. Then the silence of its agent is no proof.
+    /// Returns whether the target may be alive according to the store: the store lists it, has an
+    /// unreadable entry of it, or lost its entry in a store failure. In that case a silent agent
+    /// does not prove that the target is gone.
     #[must_use]
-    pub fn may_live(&self) -> bool {
+    pub fn may_be_alive(&self) -> bool {
         let doubtful = matches!(
             self.standing,
             FlowStanding::Lapsed | FlowStanding::Unreadable
@@ -114,7 +116,7 @@
     }
 }
 
-/// The targets of one service.
+/// The targets of one service, arranged on a ring.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTargets {
     /// Invariant: sorted by key.
@@ -122,7 +124,7 @@
 }
 
 impl ServiceTargets {
-    /// A ring of these targets.
+    /// Creates a ring of these targets.
     #[must_use]
     pub fn new(mut targets: Vec<FlowTarget>) -> Self {
         targets.sort_by_key(|target| target.key);
@@ -132,28 +134,28 @@
         }
     }
 
-    /// All of them, in the ring's order.
+    /// Returns all targets, in ring order.
     #[must_use]
     pub fn targets(&self) -> &[FlowTarget] {
         &self.targets
     }
 
-    /// The target with this number.
+    /// Returns the target with this key.
     #[must_use]
     pub fn target(&self, key: TargetKey) -> Option<&FlowTarget> {
         let at = self.targets.binary_search_by_key(&key, |target| target.key);
         at.ok().map(|at| &self.targets[at])
     }
 
-    /// The targets that are asked for a flow, nearest on the ring first; the first [`PLACES`] are
-    /// those that it may be placed at.
+    /// Returns the targets that are queried for a flow, nearest on the ring first. A new flow may
+    /// be placed at the first [`PLACEMENT_CANDIDATES`] of them.
     #[must_use]
-    pub fn candidates(&self, point: u64) -> SmallVec<[&FlowTarget; CANDIDATES]> {
-        self.following(point).take(CANDIDATES).collect()
+    pub fn candidates(&self, point: u64) -> SmallVec<[&FlowTarget; SEARCH_CANDIDATES]> {
+        self.clockwise_from(point).take(SEARCH_CANDIDATES).collect()
     }
 
-    /// All targets, nearest on the ring first.
-    pub(crate) fn following(&self, point: u64) -> impl Iterator<Item = &FlowTarget> {
+    /// Returns all targets in ring order, starting with the first one at or after `point`.
+    pub(crate) fn clockwise_from(&self, point: u64) -> impl Iterator<Item = &FlowTarget> {
         let first = self.targets.partition_point(|target| target.key.0 < point);
         let (before, after) = self.targets.split_at(first);
         after.iter().chain(before)
--- a/crates/flows/src/view.rs
+++ b/crates/flows/src/view.rs
@@ -1,10 +1,10 @@
-//! What the packet path looks up: routes by address, targets by service.
+//! The lookup tables of the packet path: routes by address, targets by service.
 //!
-//! A view is replaced, never changed, and shares with the one before whatever is the same: at
-//! 160,000 targets a view made anew took 93 ms and as much memory again.
+//! A view is immutable. A new view replaces it and shares all unchanged parts with it: with 160,000
+//! targets, building a view from scratch took 93 ms and twice the memory.
 
 mod builder;
-mod doubt;
+mod coverage;
 mod regions;
 mod zones;
 
@@ -22,41 +22,42 @@
 use crate::ring::{FlowStanding, FlowTarget, ServiceTargets};
 
 pub use self::builder::{FlowViewBuilder, ViewSettings};
-pub use self::doubt::{ViewCoverage, ViewDoubt};
-pub use self::regions::{RegionIndex, RouteHomes};
-pub use self::zones::{ZoneIndex, ZoneOutlook};
+pub use self::coverage::{DoubtReason, ViewCoverage};
+pub use self::regions::{RegionIndex, RouteRegions};
+pub use self::zones::{ZoneIndex, ZoneTable};
 
-/// Routes by the address that callers send to.
+/// Routes by the service address that clients send to.
 type RouteMap = HashMap<SocketAddrV4, Arc<FlowRoute>>;
 
-/// Targets by their service.
+/// Rings of targets by service.
 type ServiceMap = HashMap<ServiceId, Arc<ServiceTargets>>;
 
-/// A route and the services its flows may be at.
+/// A route and the services that may hold its flows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FlowRoute {
-    /// The route's name, for logs.
+    /// The name of the route, for logs.
     pub name: String,
-    /// Whether its requests may be run again.
+    /// Whether the requests of the route are idempotent, so that they may be retried.
     pub idempotent: bool,
-    /// Where new flows go, with weights. Invariant: no weight is 0.
+    /// The services that new flows are sent to, with weights. Invariant: no weight is 0.
     pub shares: SmallVec<[(ServiceId, u32); 2]>,
-    /// Services it sent flows to within a flow's lifetime, with the end of that. Mostly none, and
-    /// then without an allocation.
+    /// Services that the route no longer sends flows to, with the time until which they may still
+    /// hold some. Usually empty, which needs no allocation.
     pub former: Vec<(ServiceId, Moment)>,
-    /// The regions that its flows are bound to; `None` where they may go anywhere.
-    pub homes: Option<Box<RouteHomes>>,
+    /// The regions that the flows are restricted to; `None` if they may be in any region.
+    pub regions: Option<Box<RouteRegions>>,
 }
 
 impl FlowRoute {
-    /// Every service that its flows may be at, as far as this process has seen.
+    /// Returns every service that may hold flows of the route, as far as this process knows.
     pub(crate) fn services(&self) -> impl Iterator<Item = ServiceId> {
         let shares = self.shares.iter().map(|&(service, _)| service);
         let former = self.former.iter().map(|&(service, _)| service);
         shares.chain(former)
     }
 
-    /// The service for a new flow, by the route's weights; the same in every process.
+    /// Selects the service for a new flow by the route's weights. The choice is the same in every
+    /// process.
     #[must_use]
     pub fn service_for(&self, point: u64) -> Option<ServiceId> {
         let total: u64 = self
@@ -67,7 +68,7 @@
         if total == 0 {
             return None;
         }
-        // The high half: the low one decides the place on the ring.
+        // Uses the high half, because the low half determines the position on the ring.
         let mut left = (point >> 32) % total;
         for &(service, weight) in &self.shares {
             match left.checked_sub(u64::from(weight)) {
@@ -79,124 +80,131 @@
     }
 }
 
-/// Routes and targets for the packet path.
+/// An immutable snapshot of routes and targets for the packet path.
 #[derive(Clone, Debug, Default)]
 pub struct FlowView {
-    /// The operator's number for the configuration in force.
+    /// The version of the active configuration, as numbered by the operator.
     pub version: ConfigRevision,
-    /// How long a flow may be silent before it may be forgotten.
+    /// How long a flow may be idle before its state may expire.
     pub idle_timeout: Duration,
-    /// Whether every living target is in it. Only then is a flow that nobody holds known to be lost.
+    /// Whether the view includes every live target. Only then is a flow that no target holds known
+    /// to be lost.
     pub coverage: ViewCoverage,
-    /// Which zones get no new flows.
-    pub zones: ZoneOutlook,
+    /// The zones, and which of them get no new flows.
+    pub zones: ZoneTable,
     routes: Arc<RouteMap>,
     services: Arc<ServiceMap>,
     names: Arc<HashMap<ServiceId, ServiceName>>,
-    /// What cold targets of services bear, where the operator names a bound.
+    /// The flow limits of cold targets, for services where the operator sets one.
     warmups: Arc<HashMap<ServiceId, WarmupRule>>,
-    /// The services that the configuration names: entries of others are another writer's.
-    named: Arc<HashSet<ServiceId>>,
-    /// Targets that the store lists no more, beside agents of which it lists none.
+    /// The services in the configuration. Entries of other services belong to another writer.
+    configured: Arc<HashSet<ServiceId>>,
+    /// Targets that the store no longer lists, beside agents without a listed target.
     unlisted: Vec<FlowTarget>,
 }
 
 impl FlowView {
-    /// Whether enough is known to decide: before a configuration is, no address can be said to have no
-    /// route, and before the evacuated zones are, no target may be given a flow.
+    /// Returns whether enough is known to make decisions. Without a configuration, no address can
+    /// be rejected for having no route; without the evacuated zones, no target may get a flow.
     #[must_use]
     pub fn is_known(&self) -> bool {
         self.version > ConfigRevision::default() && self.zones.is_known()
     }
 
-    /// Whether every living target is in it.
+    /// Returns whether the view includes every live target.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.coverage == ViewCoverage::Complete
     }
 
-    /// The route of a flow.
+    /// Returns the route of a flow.
     #[must_use]
     pub fn route(&self, flow: &FlowKey) -> Option<&FlowRoute> {
         self.routes.get(&flow.service_address).map(Arc::as_ref)
     }
 
-    /// The targets of a service.
+    /// Returns the targets of a service.
     #[must_use]
     pub fn service(&self, service: ServiceId) -> Option<&ServiceTargets> {
         self.services.get(&service).map(Arc::as_ref)
     }
 
-    /// The targets of each service, in no order.
+    /// Returns the rings of all services, in no particular order.
     pub(crate) fn rings(&self) -> impl Iterator<Item = &ServiceTargets> {
         self.services.values().map(Arc::as_ref)
     }
 
-    /// The targets of each service that the configuration names, in no order.
-    pub(crate) fn named_rings(&self) -> impl Iterator<Item = &ServiceTargets> {
-        let named = self.services.iter();
-        let named = named.filter(|(service, _)| self.named.contains(service));
-        named.map(|(_, ring)| ring.as_ref())
+    /// Returns the rings of the services in the configuration, in no particular order.
+    pub(crate) fn configured_rings(&self) -> impl Iterator<Item = &ServiceTargets> {
+        let rings = self.services.iter();
+        let rings = rings.filter(|(service, _)| self.configured.contains(service));
+        rings.map(|(_, ring)| ring.as_ref())
     }
 
-    /// Whether a target beside an agent may live, by the store's word alone.
+    /// Returns whether a target beside this agent may be alive according to the store alone.
     #[must_use]
-    pub fn may_live_beside(&self, agent: AgentAddress) -> bool {
+    pub fn may_have_live_target(&self, agent: AgentAddress) -> bool {
         let mut targets = self.rings().flat_map(ServiceTargets::targets);
-        targets.any(|target| target.agent == agent && target.may_live())
+        targets.any(|target| target.agent == agent && target.may_be_alive())
     }
 
-    /// Agents all of whose targets vanished from the store and have this standing.
+    /// Returns the agents whose targets have all disappeared from the store and have this standing.
     #[must_use]
     pub fn unlisted_agents(&self, standing: FlowStanding) -> Vec<AgentAddress> {
         let unlisted = self.unlisted.iter();
-        let alike = unlisted.filter(|target| target.standing == standing);
+        let matching = unlisted.filter(|target| target.standing == standing);
         let differs = |agent| {
             let mut unlisted = self.unlisted.iter();
             unlisted.any(|other| other.agent == agent && other.standing != standing)
         };
-        let agents = alike.map(|target| target.agent);
+        let agents = matching.map(|target| target.agent);
         agents.filter(|agent| !differs(*agent)).collect()
     }
 
-    /// Whether a new flow of a route may go to a target's region.
-    pub(crate) fn is_home(&self, route: &FlowRoute, target: &FlowTarget) -> bool {
-        route.homes.as_ref().is_none_or(|homes| {
+    /// Returns whether a route allows new flows in the target's region.
+    pub(crate) fn allows_new_flows(&self, route: &FlowRoute, target: &FlowTarget) -> bool {
+        route.regions.as_ref().is_none_or(|regions| {
             let region = self.zones.region_of(target.zone);
-            region.is_some_and(|region| homes.allowed.contains(&region))
+            region.is_some_and(|region| regions.allowed.contains(&region))
         })
     }
 
-    /// Whether a packet of a route's open flow may be shown to a target's agent: its region is one of those
-    /// that the flow may be in, or this process's own.
-    pub(crate) fn may_be_shown(&self, route: &FlowRoute, target: &FlowTarget, now: Moment) -> bool {
-        route.homes.as_ref().is_none_or(|homes| {
+    /// Returns whether a packet of an open flow of this route may be sent to the target's agent:
+    /// the target is in a region that may hold the flow, or in this process's own region.
+    pub(crate) fn may_receive_packet(
+        &self,
+        route: &FlowRoute,
+        target: &FlowTarget,
+        now: Moment,
+    ) -> bool {
+        route.regions.as_ref().is_none_or(|regions| {
             let region = self.zones.region_of(target.zone);
             let own = self.zones.region_of(self.zones.own);
-            homes.may_hold(region, now) || (region.is_some() && region == own)
+            regions.may_hold_flows(region, now) || (region.is_some() && region == own)
         })
     }
 
-    /// What a target bears while it is cold, and for how long it is; `None` where no bound is named.
+    /// Returns the flow limit of a target and the remaining time of its warm-up; `None` if the
+    /// service has no limit.
     #[must_use]
     pub fn warmup_of(&self, target: &FlowTarget, now: Moment) -> Option<WarmupLimit> {
         if self.warmups.is_empty() {
             return None;
         }
         let rule = self.warmups.get(&target.service)?;
-        let span = Duration::from_millis(rule.span_ms.into());
-        let back = self.zones.restored_at(target.zone);
-        let warm_at = back.map_or(target.warm_at, |back| target.warm_at.max(back + span));
+        let duration = Duration::from_millis(rule.span_ms.into());
+        let restored = self.zones.restored_at(target.zone);
+        let warm_at = restored.map_or(target.warm_at, |at| target.warm_at.max(at + duration));
         Some(WarmupLimit::new(rule, warm_at.since(now)))
     }
 
-    /// A service's name, for logs.
+    /// Returns the name of a service for logs, or an empty string if it is unknown.
     #[must_use]
     pub fn service_name(&self, service: ServiceId) -> &str {
         self.names.get(&service).map_or("", ServiceName::as_str)
     }
 
-    /// How many targets are cold, by their entries and by the zones that came back.
+    /// Counts the cold targets, according to their entries and to the zones that were restored.
     #[must_use]
     pub fn cold_targets(&self, now: Moment) -> usize {
         let targets = self.rings().flat_map(ServiceTargets::targets);
@@ -207,7 +215,7 @@
         cold.count()
     }
 
-    /// How many routes and targets there are.
+    /// Returns the number of routes and the number of targets.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let targets = self.rings().map(|ring| ring.targets().len());
--- a/crates/flows/src/view/builder.rs
+++ b/crates/flows/src/view/builder.rs
@@ -1,8 +1,8 @@
-//! Makes views from catalogs, and remembers what a catalog alone cannot tell: targets that vanished
-//! and services that a route left, where flows may still live.
+//! Builds views from catalogs. Also tracks what a catalog alone does not contain: removed targets
+//! and the former services of routes, which may still hold flows.
 //!
-//! A change of the catalog changes the ring of its service and the address of its route; all others
-//! are shared with the views before.
+//! A catalog change rebuilds only the ring of the affected service and the affected route. All
+//! other parts are shared with earlier views.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -15,73 +15,74 @@
 use lovagelatch_domain::{AgentAddress, Moment, RegionName, ServiceId, ServiceName, ZoneName};
 use smallvec::SmallVec;
 
-use super::doubt::{DoubtRecord, UNREADABLE_SPAN, ViewCoverage};
-use super::regions::{RegionList, RegionMap, RouteHomes};
+use super::coverage::{CoverageTracker, UNREADABLE_TIMEOUT, ViewCoverage};
+use super::regions::{RegionList, RegionMap, RouteRegions};
 use super::zones::{ZoneIndex, ZoneNames};
 use super::{FlowRoute, FlowView, RouteMap, ServiceMap};
 use crate::ring::{FlowStanding, FlowTarget, NameKey, ServiceTargets, TargetKey};
 
-/// What a view depends on besides the catalog.
+/// The settings that a view depends on besides the catalog.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewSettings {
-    /// This process's zone.
+    /// The zone of this process.
     pub zone: ZoneName,
     /// The region of each zone.
     pub regions: Vec<(ZoneName, RegionName)>,
-    /// The port that agents listen on for frames, the same on all instances.
+    /// The port that agents receive frames on, the same on all instances.
     pub agent_port: u16,
-    /// The longest that a flow lives, and so the longest that anything of it is remembered.
+    /// The maximum lifetime of a flow, and therefore how long former targets, services and regions
+    /// are retained.
     pub flow_lifetime: Duration,
 }
 
-/// Services with the end of the time for which they are remembered.
+/// Former services of a route, with the time when each expires.
 type FormerServices = Vec<(ServiceId, Moment)>;
 
-/// A target that the store lists no more.
+/// A target that the store no longer lists.
 #[derive(Clone, Copy, Debug)]
-struct VanishedTarget {
+struct UnlistedTarget {
     key: TargetKey,
     service: ServiceId,
-    at: Moment,
+    unlisted_at: Moment,
 }
 
-/// What happened to a target of a service.
+/// A change to one target of a service.
 enum TargetEdit {
-    /// The store lists it.
+    /// The store lists the target.
     Listed(FlowTarget),
-    /// The store lists it no more.
-    Vanished(TargetKey),
-    /// Its entry cannot be read: it may live, but is no target to use.
+    /// The store no longer lists the target.
+    Unlisted(TargetKey),
+    /// The target's entry cannot be read: it may be alive, but it is unusable.
     Unreadable(TargetKey),
-    /// It belongs to another service now, or is forgotten.
+    /// The target moved to another service, restarted, or is past its retention.
     Removed(TargetKey),
-    /// Its lapse is over.
-    Gone(TargetKey),
+    /// The target was missing for so long that it is presumed gone.
+    PresumedGone(TargetKey),
 }
 
-/// The edits of each service.
+/// Target changes by service.
 type ServiceEdits = HashMap<ServiceId, Vec<TargetEdit>>;
 
-/// Makes views from catalogs.
+/// Builds views from catalogs and their changes.
 #[derive(Clone, Debug)]
 pub struct FlowViewBuilder {
     settings: ViewSettings,
-    /// What the next view is made of; its parts are shared with the views made so far.
+    /// The next view. It shares its parts with the views built so far.
     view: FlowView,
-    /// Invariant: the targets of the view that are not listed.
-    vanished: HashMap<NameKey, VanishedTarget>,
+    /// Invariant: contains exactly the targets of the view that are not listed.
+    unlisted: HashMap<NameKey, UnlistedTarget>,
     former: HashMap<SocketAddrV4, FormerServices>,
-    /// The services that the configuration names and sends no route's flows to.
+    /// The services in the configuration that no route sends flows to.
     unrouted: Arc<Vec<ServiceName>>,
     zones: ZoneNames,
     regions: RegionMap,
-    /// Zones that targets name and the settings give no region, since they were last taken.
+    /// Zones of targets without a region in the settings, found since they were last taken.
     without_region: Vec<ZoneName>,
-    doubts: DoubtRecord,
+    coverage: CoverageTracker,
 }
 
 impl FlowViewBuilder {
-    /// A builder that remembers nothing.
+    /// Creates a builder without a catalog.
     #[must_use]
     pub fn new(settings: ViewSettings) -> Self {
         let zone = settings.zone.clone();
@@ -91,16 +92,16 @@
             view: FlowView::default(),
             zones: ZoneNames::default(),
             without_region: Vec::new(),
-            vanished: HashMap::new(),
+            unlisted: HashMap::new(),
             former: HashMap::new(),
             unrouted: Arc::default(),
-            doubts: DoubtRecord::new(),
+            coverage: CoverageTracker::new(),
         };
         builder.view.zones.own = builder.zone_index(&zone);
         builder
     }
 
-    /// The number of a zone, whose region is noted with it.
+    /// Returns the index of a zone and records the zone's region when the index is new.
     fn zone_index(&mut self, zone: &ZoneName) -> ZoneIndex {
         let index = self.zones.index_of(zone);
         let at = usize::from(index.0);
@@ -116,54 +117,55 @@
         index
     }
 
-    /// Notes that the store had trouble at `at`: an entry that vanishes proves nothing.
-    pub fn note_trouble(&mut self, at: Moment) {
-        self.doubts.note_trouble(at);
+    /// Records a store failure at `at`: an entry that disappears around it does not prove that its
+    /// target is gone.
+    pub fn record_store_failure(&mut self, at: Moment) {
+        self.coverage.record_store_failure(at);
     }
 
-    /// Notes when the store first answered after its last trouble; `None` while it has not.
-    pub fn set_returned(&mut self, returned: Option<Moment>) {
-        self.doubts.set_returned(returned);
+    /// Sets when the store first answered after its last failure; `None` while it has not.
+    pub fn set_store_recovered_at(&mut self, recovered_at: Option<Moment>) {
+        self.coverage.set_store_recovered_at(recovered_at);
     }
 
-    /// Notes whether trouble that the store had before this process started would be known.
+    /// Sets whether this process would know of store failures before its start.
     pub fn set_informed(&mut self, informed: bool) {
-        self.doubts.set_informed(informed);
+        self.coverage.set_informed(informed);
     }
 
-    /// Notes when the store was asked for the evacuated zones of the next catalog.
-    pub fn set_zones_since(&mut self, since: Moment) {
-        self.view.zones.since = since;
+    /// Sets when the evacuated zones of the next catalog were read from the store.
+    pub fn set_zones_read_at(&mut self, read_at: Moment) {
+        self.view.zones.read_at = read_at;
     }
 
-    /// Sets whether this process would hear of an evacuation.
+    /// Sets whether this process is isolated, so that it would not learn of an evacuation.
     pub fn set_cut_off(&mut self, cut_off: bool) {
         self.view.zones.cut_off = cut_off;
     }
 
-    /// Whether it would not.
+    /// Returns whether this process would not learn of an evacuation.
     #[must_use]
     pub fn is_cut_off(&self) -> bool {
         self.view.zones.cut_off
     }
 
-    /// The zones that were first named since the last call and have no region by the settings: their targets
-    /// get no flows of routes that are bound to regions.
-    pub fn take_without_region(&mut self) -> Vec<ZoneName> {
+    /// Returns the zones that were first seen since the last call and have no region in the
+    /// settings. Their targets get no flows of routes that are restricted to regions.
+    pub fn take_zones_without_region(&mut self) -> Vec<ZoneName> {
         std::mem::take(&mut self.without_region)
     }
 
-    /// Takes a catalog, with what changed since the last one that was taken.
-    pub fn take_changes(&mut self, catalog: &Catalog, changes: &CatalogChanges, now: Moment) {
+    /// Applies a catalog, given the changes since the last one applied.
+    pub fn apply_changes(&mut self, catalog: &Catalog, changes: &CatalogChanges, now: Moment) {
         let CatalogChanges::Rows { targets, routes } = changes else {
-            return self.take(catalog, now);
+            return self.apply(catalog, now);
         };
         let mut edits = ServiceEdits::new();
         for change in targets {
             let old = change.old.as_ref().and_then(TargetRow::target);
             match &change.new {
                 Some(TargetRow::Published(row)) => {
-                    // Its former start is gone, and its flows with it.
+                    // The previous start of the target is gone, and its flows with it.
                     let replaced =
                         old.filter(|old| old.service != row.service || key_of(old) != key_of(row));
                     if let Some(old) = replaced {
@@ -177,15 +179,15 @@
                         let edit = TargetEdit::Unreadable(key_of(old));
                         push(&mut edits, old.service.id(), edit);
                     }
-                    self.note_unreadable(name, now);
+                    self.record_unreadable(name, now);
                 }
                 None => {
                     if let Some(old) = old {
-                        let edit = TargetEdit::Vanished(key_of(old));
+                        let edit = TargetEdit::Unlisted(key_of(old));
                         push(&mut edits, old.service.id(), edit);
                     }
                     if let Some(row) = &change.old {
-                        self.doubts.forget_unreadable(NameKey::of(&row.name().0));
+                        self.coverage.clear_unreadable(NameKey::of(&row.name().0));
                     }
                 }
             }
@@ -197,34 +199,34 @@
                 self.set_route(address, change.new.as_ref(), now);
             }
         }
-        self.take_head(catalog, now);
+        self.apply_head(catalog, now);
     }
 
-    /// Takes a whole catalog.
-    pub fn take(&mut self, catalog: &Catalog, now: Moment) {
-        self.take_targets(&catalog.targets, now);
-        self.take_routes(&catalog.routes, now);
-        self.take_head(catalog, now);
+    /// Applies a whole catalog.
+    pub fn apply(&mut self, catalog: &Catalog, now: Moment) {
+        self.apply_targets(&catalog.targets, now);
+        self.apply_routes(&catalog.routes, now);
+        self.apply_head(catalog, now);
     }
 
-    /// Takes what the catalog says besides routes and targets.
-    fn take_head(&mut self, catalog: &Catalog, now: Moment) {
+    /// Applies the parts of a catalog other than routes and targets.
+    fn apply_head(&mut self, catalog: &Catalog, now: Moment) {
         if self.view.zones.revision != catalog.zones_revision {
             let zones = catalog.evacuated.iter();
             let zones = zones.map(|zone| self.zone_index(&zone.0)).collect();
-            self.view.zones.take(catalog.zones_revision, zones, now);
+            self.view.zones.apply(catalog.zones_revision, zones, now);
         }
         let changed = self.view.version != catalog.version || self.unrouted != catalog.unrouted;
         self.view.version = catalog.version;
         self.view.idle_timeout = catalog.idle_timeout;
         if changed {
             self.unrouted = Arc::clone(&catalog.unrouted);
-            self.view.named = Arc::new(self.named_services(catalog));
+            self.view.configured = Arc::new(self.configured_services(catalog));
         }
     }
 
-    /// The services that the configuration names, or named within a flow's lifetime.
-    fn named_services(&self, catalog: &Catalog) -> HashSet<ServiceId> {
+    /// Returns the services that are in the configuration, or were within the last flow lifetime.
+    fn configured_services(&self, catalog: &Catalog) -> HashSet<ServiceId> {
         let unrouted = catalog.unrouted.iter().map(ServiceName::id);
         let routed = self.view.routes.values().flat_map(|route| &route.shares);
         let former = self.former.values().flatten();
@@ -233,63 +235,65 @@
         unrouted.chain(known).collect()
     }
 
-    /// When the first lapse that is under way ends, or an entry has been unreadable for so long that
-    /// its target counts as gone.
+    /// Returns when the next target with a lapsed or unreadable entry is presumed gone.
     #[must_use]
-    pub fn next_lapse_end(&self) -> Option<Moment> {
-        let vanished = self.vanished.values();
-        let targets = vanished.filter_map(|held| self.target(held.service, held.key));
-        targets.filter_map(|target| self.doubt_end(target)).min()
+    pub fn next_target_expiry(&self) -> Option<Moment> {
+        let unlisted = self.unlisted.values();
+        let targets = unlisted.filter_map(|known| self.target(known.service, known.key));
+        targets
+            .filter_map(|target| self.presumed_gone_at(target))
+            .min()
     }
 
-    /// When the passing of time next changes what a view says.
+    /// Returns when the view next changes without an event.
     #[must_use]
     pub fn next_change(&self, now: Moment) -> Option<Moment> {
-        let coverage = self.doubts.next_change(now);
-        let lapse = self.next_lapse_end().filter(|end| *end > now);
-        coverage.into_iter().chain(lapse).min()
+        let coverage = self.coverage.next_change(now);
+        let expiry = self.next_target_expiry().filter(|at| *at > now);
+        coverage.into_iter().chain(expiry).min()
     }
 
-    /// Until when a target may still turn out to live; `None` where that is not the question.
-    fn doubt_end(&self, target: &FlowTarget) -> Option<Moment> {
+    /// Returns when a target with a lapsed or unreadable entry is presumed gone; `None` for other
+    /// targets.
+    fn presumed_gone_at(&self, target: &FlowTarget) -> Option<Moment> {
         match target.standing {
-            FlowStanding::Lapsed => Some(self.doubts.lapse_end(target.since)),
-            FlowStanding::Unreadable => Some(target.since + UNREADABLE_SPAN),
+            FlowStanding::Lapsed => Some(self.coverage.lapse_end(target.standing_since)),
+            FlowStanding::Unreadable => Some(target.standing_since + UNREADABLE_TIMEOUT),
             FlowStanding::Serving | FlowStanding::Leaving => None,
         }
     }
 
-    /// Whether every living target is known.
+    /// Returns whether every live target is known.
     #[must_use]
     pub fn is_complete(&self, now: Moment) -> bool {
         self.coverage(now) == ViewCoverage::Complete
     }
 
-    /// Whether every living target is known, and if not, why.
+    /// Returns whether every live target is known, and if not, why.
     #[must_use]
     pub fn coverage(&self, now: Moment) -> ViewCoverage {
-        self.doubts.coverage(now)
+        self.coverage.coverage(now)
     }
 
-    fn note_unreadable(&mut self, name: &TargetName, now: Moment) {
+    fn record_unreadable(&mut self, name: &TargetName, now: Moment) {
         let name = NameKey::of(&name.0);
         let mut targets = self.view.rings().flat_map(ServiceTargets::targets);
-        let is_placed = targets.any(|target| target.name == name);
-        self.doubts.note_unreadable(name, is_placed, now);
+        let is_located = targets.any(|target| target.name == name);
+        self.coverage.record_unreadable(name, is_located, now);
     }
 
-    /// The view now.
+    /// Returns the view at `now`, after removing what has expired.
     pub fn build(&mut self, now: Moment) -> FlowView {
-        self.forget(now);
+        self.expire(now);
         self.view.coverage = self.coverage(now);
-        self.view.unlisted = self.unlisted();
+        self.view.unlisted = self.targets_of_unlisted_agents();
         self.view.clone()
     }
 
-    /// Targets that vanished beside agents that have no listed one.
-    fn unlisted(&self) -> Vec<FlowTarget> {
-        let vanished = self.vanished.values();
-        let targets = vanished.filter_map(|held| self.target(held.service, held.key));
+    /// Returns the unlisted targets beside agents without a listed target.
+    fn targets_of_unlisted_agents(&self) -> Vec<FlowTarget> {
+        let unlisted = self.unlisted.values();
+        let targets = unlisted.filter_map(|known| self.target(known.service, known.key));
         let mut unlisted: Vec<FlowTarget> = targets.copied().collect();
         if unlisted.is_empty() {
             return unlisted;
@@ -311,7 +315,7 @@
         self.view.services.get(&service)?.target(key)
     }
 
-    fn take_targets(&mut self, rows: &[TargetRow], now: Moment) {
+    fn apply_targets(&mut self, rows: &[TargetRow], now: Moment) {
         let mut edits = ServiceEdits::new();
         let mut listed = Vec::with_capacity(rows.len());
         let mut unreadable = Vec::new();
@@ -324,21 +328,23 @@
             }
         }
         listed.sort_unstable();
-        let strange: HashSet<NameKey> =
+        let unreadable_names: HashSet<NameKey> =
             unreadable.iter().map(|name| NameKey::of(&name.0)).collect();
-        self.doubts.retain_unreadable(&strange);
+        self.coverage.retain_unreadable(&unreadable_names);
         for name in unreadable {
-            self.note_unreadable(name, now);
+            self.record_unreadable(name, now);
         }
         for target in self.view.rings().flat_map(ServiceTargets::targets) {
             let at = listed.binary_search_by_key(&target.name, |(name, ..)| *name);
             let edit = match at {
                 Ok(at) if listed[at] == (target.name, target.key, target.service) => continue,
-                // It moved, or this was a former start of it.
+                // The target moved to another service, or this is a previous start of it.
                 Ok(_) => TargetEdit::Removed(target.key),
                 Err(_) if !target.listed => continue,
-                Err(_) if strange.contains(&target.name) => TargetEdit::Unreadable(target.key),
-                Err(_) => TargetEdit::Vanished(target.key),
+                Err(_) if unreadable_names.contains(&target.name) => {
+                    TargetEdit::Unreadable(target.key)
+                }
+                Err(_) => TargetEdit::Unlisted(target.key),
             };
             push(&mut edits, target.service, edit);
         }
@@ -352,13 +358,13 @@
         now: Moment,
     ) -> (NameKey, TargetKey, ServiceId) {
         let target = self.target_of(row, now);
-        self.doubts.forget_unreadable(target.name);
+        self.coverage.clear_unreadable(target.name);
         if !self.view.names.contains_key(&target.service) {
             Arc::make_mut(&mut self.view.names).insert(target.service, row.service.clone());
         }
-        let before = self.vanished.get(&target.name);
-        let place = (target.key, target.service);
-        if let Some(before) = before.filter(|before| (before.key, before.service) != place) {
+        let before = self.unlisted.get(&target.name);
+        let identity = (target.key, target.service);
+        if let Some(before) = before.filter(|before| (before.key, before.service) != identity) {
             push(edits, before.service, TargetEdit::Removed(before.key));
         }
         push(edits, target.service, TargetEdit::Listed(target));
@@ -373,14 +379,14 @@
             FlowStanding::Serving
         };
         let zone = self.zone_index(&row.zone);
-        let held = self.target(service, key);
-        let since = match held {
-            Some(held) if held.standing == standing => held.since,
+        let known = self.target(service, key);
+        let standing_since = match known {
+            Some(known) if known.standing == standing => known.standing_since,
             _ => now,
         };
-        let warm_at = match held {
-            // The same record may be taken again later; its warm-up has gone on meanwhile.
-            Some(held) if held.warming_ms == row.warming_ms => held.warm_at,
+        let warm_at = match known {
+            // The same record may be applied again later; the warm-up has progressed since.
+            Some(known) if known.warming_ms == row.warming_ms => known.warm_at,
             _ => now + Duration::from_millis(row.warming_ms.into()),
         };
         let agent = SocketAddrV4::new(*row.address.ip(), self.settings.agent_port);
@@ -393,7 +399,7 @@
             zone,
             slots: row.slots.max(1),
             standing,
-            since,
+            standing_since,
             warming_ms: row.warming_ms,
             warm_at,
         }
@@ -403,14 +409,21 @@
         if edits.is_empty() {
             return;
         }
-        let doubtful = self.doubts.is_troubled(now);
+        let store_failed = self.coverage.has_recent_failure(now);
         let services = Arc::make_mut(&mut self.view.services);
         for (service, edits) in edits {
-            edit_service(services, service, edits, doubtful, &mut self.vanished, now);
+            edit_service(
+                services,
+                service,
+                edits,
+                store_failed,
+                &mut self.unlisted,
+                now,
+            );
         }
     }
 
-    fn take_routes(&mut self, routes: &[PublishedRoute], now: Moment) {
+    fn apply_routes(&mut self, routes: &[PublishedRoute], now: Moment) {
         let mut gone: Vec<SocketAddrV4> = self.view.routes.keys().copied().collect();
         gone.sort_unstable();
         for route in routes {
@@ -424,7 +437,8 @@
         }
     }
 
-    /// Sets or drops a route, and remembers the services that it leaves.
+    /// Adds, replaces or removes a route, and retains the services that it no longer sends flows
+    /// to.
     fn set_route(&mut self, address: SocketAddrV4, route: Option<&PublishedRoute>, now: Moment) {
         let shares = route.map_or_else(SmallVec::new, |route| self.shares_of(route));
         let before = self.view.routes.get(&address);
@@ -433,52 +447,58 @@
         let until = now + self.settings.flow_lifetime;
         for &(service, _) in left {
             let former = self.former.entry(address).or_default();
-            former.retain(|(held, _)| *held != service);
+            former.retain(|(known, _)| *known != service);
             former.push((service, until));
         }
-        let homes = route.and_then(|route| self.homes_of(route, before.map(Arc::as_ref), now));
+        let regions = route.and_then(|route| self.regions_of(route, before.map(Arc::as_ref), now));
         let next = route.map(|route| FlowRoute {
             name: route.name.clone(),
             idempotent: route.idempotent,
             shares,
             former: self.former.get(&address).cloned().unwrap_or_default(),
-            homes,
+            regions,
         });
         if before.map(Arc::as_ref) != next.as_ref() {
             replace_route(&mut self.view.routes, address, next);
         }
     }
 
-    /// The regions that a route is bound to. Where they are others than before, or this process has just
-    /// begun, flows may be elsewhere for as long as one lives.
-    fn homes_of(
+    /// Returns the regions that a route is restricted to. If they changed or the process has just
+    /// started, flows may be in other regions for up to a flow lifetime.
+    fn regions_of(
         &self,
         route: &PublishedRoute,
         before: Option<&FlowRoute>,
         now: Moment,
-    ) -> Option<Box<RouteHomes>> {
+    ) -> Option<Box<RouteRegions>> {
         if route.homes.is_empty() {
             return None;
         }
-        let allowed = self.regions.numbers(&route.homes);
-        let settled = now + self.settings.flow_lifetime;
+        let allowed = self.regions.indices_of(&route.homes);
+        let former_until = now + self.settings.flow_lifetime;
         let former = match before {
-            // Nothing is known of before: a packet goes to no other region on a mere chance.
+            // The former regions are unknown: packets are not sent to other regions on the off
+            // chance.
             None => Some(RegionList::new()),
-            Some(before) => match &before.homes {
-                Some(homes) if homes.allowed == allowed => return Some(homes.clone()),
-                Some(homes) => homes.former.as_ref().map(|former| {
-                    let mut all = homes.allowed.clone();
-                    all.extend(former.iter().copied().filter(|_| now < homes.settled));
+            Some(before) => match &before.regions {
+                Some(regions) if regions.allowed == allowed => return Some(regions.clone()),
+                Some(regions) => regions.former.as_ref().map(|former| {
+                    let mut all = regions.allowed.clone();
+                    all.extend(
+                        former
+                            .iter()
+                            .copied()
+                            .filter(|_| now < regions.former_until),
+                    );
                     all
                 }),
                 None => None,
             },
         };
-        Some(Box::new(RouteHomes {
+        Some(Box::new(RouteRegions {
             allowed,
             former,
-            settled,
+            former_until,
         }))
     }
 
@@ -507,29 +527,29 @@
             .collect()
     }
 
-    fn forget(&mut self, now: Moment) {
-        self.forget_targets(now);
-        self.forget_former(now);
+    fn expire(&mut self, now: Moment) {
+        self.expire_targets(now);
+        self.expire_former_services(now);
     }
 
-    fn forget_targets(&mut self, now: Moment) {
+    fn expire_targets(&mut self, now: Moment) {
         let mut edits = ServiceEdits::new();
-        for held in self.vanished.values() {
-            let key = held.key;
-            let Some(target) = self.target(held.service, key) else {
+        for known in self.unlisted.values() {
+            let key = known.key;
+            let Some(target) = self.target(known.service, key) else {
                 continue;
             };
-            let over = self.doubt_end(target).is_some_and(|end| now >= end);
-            if now.since(held.at) >= self.settings.flow_lifetime {
-                push(&mut edits, held.service, TargetEdit::Removed(key));
-            } else if over {
-                push(&mut edits, held.service, TargetEdit::Gone(key));
+            let presumed_gone = self.presumed_gone_at(target).is_some_and(|at| now >= at);
+            if now.since(known.unlisted_at) >= self.settings.flow_lifetime {
+                push(&mut edits, known.service, TargetEdit::Removed(key));
+            } else if presumed_gone {
+                push(&mut edits, known.service, TargetEdit::PresumedGone(key));
             }
         }
         self.edit_targets(edits, now);
     }
 
-    fn forget_former(&mut self, now: Moment) {
+    fn expire_former_services(&mut self, now: Moment) {
         let mut changed = Vec::new();
         self.former.retain(|address, services| {
             let before = services.len();
@@ -568,17 +588,17 @@
     };
 }
 
-/// Replaces the ring of a service by one with these edits.
+/// Replaces the ring of a service with one that has these edits applied.
 fn edit_service(
     services: &mut ServiceMap,
     service: ServiceId,
     edits: Vec<TargetEdit>,
-    doubtful: bool,
-    vanished: &mut HashMap<NameKey, VanishedTarget>,
+    store_failed: bool,
+    unlisted: &mut HashMap<NameKey, UnlistedTarget>,
     now: Moment,
 ) {
-    let held = services.get(&service);
-    let mut targets: HashMap<TargetKey, FlowTarget> = held
+    let known = services.get(&service);
+    let mut targets: HashMap<TargetKey, FlowTarget> = known
         .into_iter()
         .flat_map(|ring| ring.targets())
         .map(|target| (target.key, *target))
@@ -586,32 +606,36 @@
     for edit in edits {
         match edit {
             TargetEdit::Listed(target) => {
-                forget_vanished(vanished, &target);
+                remove_unlisted(unlisted, &target);
                 targets.insert(target.key, target);
             }
-            TargetEdit::Vanished(key) | TargetEdit::Unreadable(key) => {
-                let readable = matches!(edit, TargetEdit::Vanished(_));
+            TargetEdit::Unlisted(key) | TargetEdit::Unreadable(key) => {
+                let readable = matches!(edit, TargetEdit::Unlisted(_));
                 if let Some(target) = targets.get_mut(&key) {
-                    let lapses = doubtful && target.standing == FlowStanding::Serving;
+                    let lapses = store_failed && target.standing == FlowStanding::Serving;
                     target.listed = false;
                     target.standing = match (readable, lapses) {
                         (false, _) => FlowStanding::Unreadable,
                         (true, true) => FlowStanding::Lapsed,
                         (true, false) => FlowStanding::Leaving,
                     };
-                    target.since = now;
-                    let at = now;
-                    vanished.insert(target.name, VanishedTarget { key, service, at });
+                    target.standing_since = now;
+                    let record = UnlistedTarget {
+                        key,
+                        service,
+                        unlisted_at: now,
+                    };
+                    unlisted.insert(target.name, record);
                 }
             }
-            TargetEdit::Gone(key) => {
+            TargetEdit::PresumedGone(key) => {
                 if let Some(target) = targets.get_mut(&key) {
                     target.standing = FlowStanding::Leaving;
                 }
             }
             TargetEdit::Removed(key) => {
                 if let Some(target) = targets.remove(&key) {
-                    forget_vanished(vanished, &target);
+                    remove_unlisted(unlisted, &target);
                 }
             }
         }
@@ -624,10 +648,10 @@
     }
 }
 
-fn forget_vanished(vanished: &mut HashMap<NameKey, VanishedTarget>, target: &FlowTarget) {
-    let held = vanished.get(&target.name);
-    let place = (target.key, target.service);
-    if held.is_some_and(|held| (held.key, held.service) == place) {
-        vanished.remove(&target.name);
+fn remove_unlisted(unlisted: &mut HashMap<NameKey, UnlistedTarget>, target: &FlowTarget) {
+    let known = unlisted.get(&target.name);
+    let identity = (target.key, target.service);
+    if known.is_some_and(|known| (known.key, known.service) == identity) {
+        unlisted.remove(&target.name);
     }
 }
--- a/crates/flows/src/view/coverage.rs
+++ b/crates/flows/src/view/coverage.rs
@@ -1,8 +1,7 @@
-//! What speaks against taking a view for complete.
+//! Tracks whether a view includes every live target.
 //!
-//! What goes wrong without it: a search that found nobody is proof that a flow is lost only if everybody
-//! who could hold it was asked. A balancer whose view lacks a living target would reset that target's
-//! open flows.
+//! A search without a result proves that a flow is lost only if every target that could hold it was
+//! queried. A balancer whose view lacks a live target would reset that target's open flows.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -13,34 +12,34 @@
 
 use crate::ring::NameKey;
 
-/// How long after the store's last trouble a vanished entry is taken for a lapse: a target's
-/// entry ends three heartbeats (3.6 s) after its last write, and a live one is back 2 s after the
-/// store is.
-const TROUBLE_SPAN: Duration = Duration::from_secs(6);
+/// How long after the last store failure a missing entry is considered lapsed rather than removed.
+/// The entry of a target expires three heartbeats (3.6 s) after its last write, and a live target
+/// restores its entry within 2 s after the store recovers.
+const STORE_FAILURE_WINDOW: Duration = Duration::from_secs(6);
 
-/// How long an entry that vanished around the store's trouble may be a living target's.
-const LAPSE_SPAN: Duration = Duration::from_secs(2);
+/// How long an entry that disappeared around a store failure may belong to a live target.
+const LAPSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an entry that cannot be read may stand for a target that lives. A living target writes its
-/// entry anew with every heartbeat (1.2 s), so what stands for three of them, after which the store
-/// itself takes a silent target for gone, is another writer's. Without the bound one such entry kept
-/// every lost flow from being told, for as long as it stood.
-pub(super) const UNREADABLE_SPAN: Duration = Duration::from_secs(4);
+/// How long an unreadable entry may belong to a live target. A live target rewrites its entry with
+/// every heartbeat (1.2 s), and the store considers a target gone after three missed heartbeats. An
+/// entry that stays unreadable for longer belongs to another writer. Without this limit, a single
+/// such entry prevented every lost flow from being reported for as long as it existed.
+pub(super) const UNREADABLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Why a view may lack a living target.
+/// Why a view may lack a live target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ViewDoubt {
-    /// The process has just started, and no other has told it whether the store had trouble.
+pub enum DoubtReason {
+    /// The process has just started, and no other process has informed it of store failures yet.
     NotInformed,
-    /// The store is or was in trouble: entries of living targets may have expired.
+    /// The store is failing or failed recently: entries of live targets may have expired.
     StoreTrouble,
-    /// An entry that cannot be read may be a living target's.
+    /// An unreadable entry may belong to a live target.
     UnreadableEntry,
 }
 
-impl ViewDoubt {
-    /// The reason as logs say it.
+impl DoubtReason {
+    /// Returns the reason as it is logged.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -51,114 +50,117 @@
     }
 }
 
-/// Whether every living target is in a view.
+/// Whether a view includes every live target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViewCoverage {
-    /// It is: a flow that nobody in the view holds is lost.
+    /// The view includes every live target: a flow that none of them holds is lost.
     Complete,
-    /// It may not be.
-    Doubtful(ViewDoubt),
+    /// The view may lack a live target.
+    Doubtful(DoubtReason),
 }
 
 impl Default for ViewCoverage {
-    /// A view that nobody has vouched for proves nothing.
+    /// Returns the coverage of a view that has not been confirmed.
     fn default() -> Self {
-        Self::Doubtful(ViewDoubt::NotInformed)
+        Self::Doubtful(DoubtReason::NotInformed)
     }
 }
 
-/// What is known of the reasons for doubt.
+/// Tracks the conditions under which a view may lack a live target.
 #[derive(Clone, Debug)]
-pub(super) struct DoubtRecord {
-    /// When the store was last known to be in trouble.
-    trouble: Option<Moment>,
-    /// When it first answered after that, if it has.
-    returned: Option<Moment>,
-    /// Whether trouble from before this process's start would be known.
+pub(super) struct CoverageTracker {
+    /// The time of the last known store failure.
+    last_failure: Option<Moment>,
+    /// When the store first answered after that failure, if it has.
+    recovered_at: Option<Moment>,
+    /// Whether this process would know of store failures before its start.
     informed: bool,
-    /// Entries that cannot be read. Where the target's place was not known then, with when it was
-    /// first seen: until [`UNREADABLE_SPAN`] has passed a living target may be behind it.
+    /// Unreadable entries. If the target's address is unknown, holds the time when the entry was
+    /// first seen: until [`UNREADABLE_TIMEOUT`] has passed it may belong to a live target.
     unreadable: HashMap<NameKey, Option<Moment>>,
 }
 
-impl DoubtRecord {
+impl CoverageTracker {
     pub(super) fn new() -> Self {
         Self {
-            trouble: None,
-            returned: None,
+            last_failure: None,
+            recovered_at: None,
             informed: true,
             unreadable: HashMap::new(),
         }
     }
 
-    pub(super) fn note_trouble(&mut self, at: Moment) {
-        self.trouble = Some(self.trouble.map_or(at, |known| known.max(at)));
+    pub(super) fn record_store_failure(&mut self, at: Moment) {
+        self.last_failure = Some(self.last_failure.map_or(at, |known| known.max(at)));
     }
 
-    pub(super) fn set_returned(&mut self, returned: Option<Moment>) {
-        self.returned = returned;
+    pub(super) fn set_store_recovered_at(&mut self, recovered_at: Option<Moment>) {
+        self.recovered_at = recovered_at;
     }
 
     pub(super) fn set_informed(&mut self, informed: bool) {
         self.informed = informed;
     }
 
-    /// Notes an entry that cannot be read. Whoever knows where its target is asks it, and needs no doubt.
-    pub(super) fn note_unreadable(&mut self, name: NameKey, is_placed: bool, now: Moment) {
-        let since = (!is_placed).then_some(now);
+    /// Records an unreadable entry. It causes no doubt if the target's address is known, because a
+    /// search then queries the target's agent.
+    pub(super) fn record_unreadable(&mut self, name: NameKey, is_located: bool, now: Moment) {
+        let since = (!is_located).then_some(now);
         self.unreadable.entry(name).or_insert(since);
     }
 
-    /// The entry can be read, or is gone.
-    pub(super) fn forget_unreadable(&mut self, name: NameKey) {
+    /// Removes an entry that has become readable or was deleted.
+    pub(super) fn clear_unreadable(&mut self, name: NameKey) {
         self.unreadable.remove(&name);
     }
 
-    /// Only these entries cannot be read.
+    /// Removes all unreadable entries except these.
     pub(super) fn retain_unreadable(&mut self, names: &HashSet<NameKey>) {
         self.unreadable.retain(|name, _| names.contains(name));
     }
 
-    /// Whether an entry that vanishes now may be a living target's.
-    pub(super) fn is_troubled(&self, now: Moment) -> bool {
-        self.trouble.is_some_and(|at| now.since(at) < TROUBLE_SPAN)
+    /// Returns whether an entry that disappears now may belong to a live target.
+    pub(super) fn has_recent_failure(&self, now: Moment) -> bool {
+        self.last_failure
+            .is_some_and(|at| now.since(at) < STORE_FAILURE_WINDOW)
     }
 
-    /// Until when a living target whose entry vanished at `since` may be off the list.
+    /// Returns until when a live target whose entry disappeared at `since` may be missing from the
+    /// list.
     pub(super) fn lapse_end(&self, since: Moment) -> Moment {
-        let end = since + LAPSE_SPAN;
-        let listed = self.returned.map(|at| at + RECOVERY_WINDOW);
-        match listed.filter(|listed| since < *listed) {
-            Some(listed) => end.min(listed),
+        let end = since + LAPSE_TIMEOUT;
+        let relisted = self.recovered_at.map(|at| at + RECOVERY_WINDOW);
+        match relisted.filter(|relisted| since < *relisted) {
+            Some(relisted) => end.min(relisted),
             None => end,
         }
     }
 
-    /// When the coverage next changes by the passing of time.
+    /// Returns when the coverage may next change without an event.
     pub(super) fn next_change(&self, now: Moment) -> Option<Moment> {
-        let trouble = self.trouble.map(|at| at + TROUBLE_SPAN);
-        let returned = self.returned.map(|at| at + RECOVERY_WINDOW);
-        let unplaced = self.unreadable.values().flatten();
-        let readable = unplaced.map(|&since| since + UNREADABLE_SPAN);
-        let changes = trouble.into_iter().chain(returned).chain(readable);
+        let failure = self.last_failure.map(|at| at + STORE_FAILURE_WINDOW);
+        let recovery = self.recovered_at.map(|at| at + RECOVERY_WINDOW);
+        let unlocated = self.unreadable.values().flatten();
+        let timeouts = unlocated.map(|&since| since + UNREADABLE_TIMEOUT);
+        let changes = failure.into_iter().chain(recovery).chain(timeouts);
         changes.filter(|at| *at > now).min()
     }
 
-    /// Whether every living target is known.
+    /// Returns whether every live target is known, and if not, why.
     pub(super) fn coverage(&self, now: Moment) -> ViewCoverage {
         if !self.informed {
-            return ViewCoverage::Doubtful(ViewDoubt::NotInformed);
+            return ViewCoverage::Doubtful(DoubtReason::NotInformed);
         }
-        let back = self
-            .returned
+        let recovered = self
+            .recovered_at
             .is_some_and(|at| now.since(at) >= RECOVERY_WINDOW);
-        if self.is_troubled(now) && !back {
-            return ViewCoverage::Doubtful(ViewDoubt::StoreTrouble);
+        if self.has_recent_failure(now) && !recovered {
+            return ViewCoverage::Doubtful(DoubtReason::StoreTrouble);
         }
-        let mut unplaced = self.unreadable.values().flatten();
-        if unplaced.any(|&since| now.since(since) < UNREADABLE_SPAN) {
-            return ViewCoverage::Doubtful(ViewDoubt::UnreadableEntry);
+        let mut unlocated = self.unreadable.values().flatten();
+        if unlocated.any(|&since| now.since(since) < UNREADABLE_TIMEOUT) {
+            return ViewCoverage::Doubtful(DoubtReason::UnreadableEntry);
         }
         ViewCoverage::Complete
     }
--- a/crates/flows/src/view/regions.rs
+++ b/crates/flows/src/view/regions.rs
@@ -1,7 +1,7 @@
-//! Which regions a route's flows may be in.
+//! The regions that the flows of a route are restricted to.
 //!
-//! What goes wrong without it: a route is bound to regions, by law or by contract, and the least loaded target
-//! happens to be in another one. One notices by requests that were served abroad.
+//! A route may be restricted to regions by law or by contract. Without this restriction, its
+//! requests would be served in another region whenever the least loaded target is there.
 
 use std::collections::HashMap;
 
@@ -10,30 +10,32 @@
 
 use super::zones::ZoneIndex;
 
-/// A region's number in one process.
+/// The index of a region, valid within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegionIndex(pub u16);
 
-/// Regions, mostly one or two.
+/// A list of regions, usually one or two.
 pub(super) type RegionList = SmallVec<[RegionIndex; 4]>;
 
-/// The regions that a route is bound to.
+/// The regions that a route is restricted to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RouteHomes {
-    /// Where its new flows may go. Empty where no zone is in any of its regions: then nowhere.
+pub struct RouteRegions {
+    /// The regions that accept new flows. Empty if no zone is in any of the route's regions, in
+    /// which case new flows are refused.
     pub allowed: SmallVec<[RegionIndex; 4]>,
-    /// Where it was allowed to go within a flow's lifetime, as far as this process has seen; `None` where
-    /// that was anywhere.
+    /// The regions that were allowed within the last flow lifetime, as far as this process knows;
+    /// `None` if that was any region.
     pub former: Option<SmallVec<[RegionIndex; 4]>>,
-    /// From when on flows can be in no other region than the allowed ones.
-    pub settled: Moment,
+    /// When the former regions expire: from then on, only the allowed regions can hold flows.
+    pub former_until: Moment,
 }
 
-impl RouteHomes {
-    /// Whether its flows may be in a region, or were allowed to be when they opened.
-    pub(crate) fn may_hold(&self, region: Option<RegionIndex>, now: Moment) -> bool {
+impl RouteRegions {
+    /// Returns whether a region may hold flows of the route: it is allowed now, or may have been
+    /// when they were opened.
+    pub(crate) fn may_hold_flows(&self, region: Option<RegionIndex>, now: Moment) -> bool {
         let before = match &self.former {
-            _ if now >= self.settled => false,
+            _ if now >= self.former_until => false,
             None => true,
             Some(former) => region.is_some_and(|region| former.contains(&region)),
         };
@@ -41,7 +43,7 @@
     }
 }
 
-/// The regions of zones, as the settings name them.
+/// The regions of zones, according to the settings.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RegionMap {
     regions: HashMap<RegionName, RegionIndex>,
@@ -59,22 +61,22 @@
         map
     }
 
-    /// The region of a zone; `None` where the settings name none.
+    /// Returns the region of a zone; `None` if the settings have none for it.
     pub(super) fn region_of(&self, zone: &ZoneName) -> Option<RegionIndex> {
         self.zones.get(zone).copied()
     }
 
-    /// The numbers of these regions; one that no zone is in has none, and leads nowhere.
-    pub(super) fn numbers(&self, names: &[RegionName]) -> RegionList {
+    /// Returns the indices of these regions, leaving out regions that have no zone.
+    pub(super) fn indices_of(&self, names: &[RegionName]) -> RegionList {
         let known = names.iter().filter_map(|name| self.regions.get(name));
         known.copied().collect()
     }
 }
 
-/// The region of each zone that a view names.
+/// The region of each zone of a view, by zone index.
 pub(super) type ZoneRegions = Vec<Option<RegionIndex>>;
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub(super) fn region_at(regions: &ZoneRegions, zone: ZoneIndex) -> Option<RegionIndex> {
     regions.get(usize::from(zone.0)).copied().flatten()
 }
--- a/crates/flows/tests/all/loss.rs
+++ b/crates/flows/tests/all/loss.rs
@@ -37,13 +37,13 @@
 fn view(case: &LossCase, listed: bool) -> FlowView {
     let all = two_targets(case.idempotent);
     let mut builder = builder();
-    builder.take(&all.clone(), at(0));
+    builder.apply(&all.clone(), at(0));
     if case.store_failure {
-        builder.note_trouble(at(900));
+        builder.record_store_failure(at(900));
     }
     if !listed {
         let targets = catalog(vec![target(2, "claims")]).targets;
-        builder.take(&Catalog { targets, ..all }, at(1_000));
+        builder.apply(&Catalog { targets, ..all }, at(1_000));
     }
     builder.build(at(1_000))
 }
@@ -157,7 +157,7 @@
 fn a_flow_that_may_be_at_another_target_is_not_lost_with_one() {
     let both = catalog(vec![target(1, "claims"), target(2, "claims")]);
     let mut builder = builder();
-    builder.take(&both, at(0));
+    builder.apply(&both, at(0));
     let view = builder.build(at(0));
     let balancer = FlowBalancer::new(balancer());
     let step = balancer.handle_packet(&opening(flow(1)), b"syn", &view, at(0));
@@ -171,7 +171,7 @@
     balancer.record_load(&stops, at(1_000));
     let left = both.targets.iter().filter_map(|row| row.target());
     let left = left.filter(|target| *target.address.ip() == *first.0.ip());
-    builder.take(&catalog(left.cloned().collect()), at(1_000));
+    builder.apply(&catalog(left.cloned().collect()), at(1_000));
     let view = builder.build(at(1_000));
     assert_eq!(balancer.lost_flows(&view, at(1_001)), []);
     // From now on packets go to the other target.
@@ -184,7 +184,7 @@
         ..idle_load(first)
     };
     balancer.record_load(&stops, at(2_000));
-    builder.take(&catalog(Vec::new()), at(2_000));
+    builder.apply(&catalog(Vec::new()), at(2_000));
     let view = builder.build(at(2_000));
     assert_eq!(balancer.lost_flows(&view, at(2_001)).len(), 1);
 }
@@ -240,7 +240,7 @@
     for case in cases {
         let both = catalog(vec![target(1, "claims"), target(2, "claims")]);
         let mut builder = builder();
-        builder.take(&both, at(0));
+        builder.apply(&both, at(0));
         let view = builder.build(at(0));
         let balancer = FlowBalancer::new(balancer());
         let step = balancer.handle_packet(&opening(flow(1)), b"syn", &view, at(0));
@@ -261,7 +261,7 @@
         if !case.listed {
             let left = both.targets.iter().filter_map(|row| row.target());
             let left = left.filter(|target| *target.address.ip() == *living.0.ip());
-            builder.take(&catalog(left.cloned().collect()), at(2_100));
+            builder.apply(&catalog(left.cloned().collect()), at(2_100));
         }
         let view = builder.build(at(2_150));
         let resets = balancer.lost_flows(&view, at(2_200));
@@ -467,13 +467,13 @@
     for case in cases {
         let all = two_targets(case.idempotent);
         let mut builder = builder();
-        builder.take(&all.clone(), at(0));
+        builder.apply(&all.clone(), at(0));
         let balancer = FlowBalancer::new(balancer());
         open_flow(&balancer, &builder.build(at(0)));
-        builder.note_trouble(at(10_000));
-        builder.set_returned(Some(at(10_000)));
+        builder.record_store_failure(at(10_000));
+        builder.set_store_recovered_at(Some(at(10_000)));
         let targets = catalog(vec![target(2, "claims")]).targets;
-        builder.take(&Catalog { targets, ..all }, at(10_000 + case.vanished));
+        builder.apply(&Catalog { targets, ..all }, at(10_000 + case.vanished));
         // Further packets of the flow, and of one that this balancer does not know, reach no
         // target.
         let view = builder.build(at(11_000));
--- a/crates/flows/tests/all/main.rs
+++ b/crates/flows/tests/all/main.rs
@@ -1,14 +1,14 @@
-//! Tests of the decisions about opaque flows.
+//! Tests of the decisions about flows of opaque packets.
 
 mod agent;
 mod balancer;
 mod delegated_search;
 mod empty_fleet;
+mod explain;
 mod frame;
-mod homes;
 mod load;
 mod loss;
-mod outlook;
+mod regions;
 mod relay;
 mod ring;
 mod search;
--- a/crates/flows/tests/all/regions.rs
+++ b/crates/flows/tests/all/regions.rs
@@ -1,4 +1,5 @@
-//! Load pattern: a route is bound to regions, and its targets stand in two or three of them, the idle ones abroad.
+//! Routes that are restricted to regions, with targets in two or three regions. The targets outside
+//! the allowed regions are idle.
 
 use lovagelatch_catalog::{Catalog, PublishedTarget};
 use lovagelatch_domain::{AgentAddress, Moment};
@@ -13,9 +14,9 @@
     idle_load, opening, route, target,
 };
 
-/// The balancer's zone, hall-a, is in lahore.
-const TWO: [(&str, &str); 2] = [("hall-a", "lahore"), ("hall-b", "karachi")];
-const THREE: [(&str, &str); 3] = [
+/// The balancer is in zone hall-a, which is in region lahore.
+const TWO_REGIONS: [(&str, &str); 2] = [("hall-a", "lahore"), ("hall-b", "karachi")];
+const THREE_REGIONS: [(&str, &str); 3] = [
     ("hall-a", "lahore"),
     ("hall-b", "karachi"),
     ("hall-c", "quetta"),
@@ -23,8 +24,9 @@
 
 const FLOWS: u16 = 100;
 
-/// A target in a zone: those beside agents 1, 4, 7 in hall-a, 2, 5, 8 in hall-b, 3, 6, 9 in hall-c.
-fn placed(number: u8) -> PublishedTarget {
+/// Returns a target: those beside agents 1, 4, 7 are in hall-a, 2, 5, 8 in hall-b, 3, 6, 9 in
+/// hall-c.
+fn target_in_zone(number: u8) -> PublishedTarget {
     let zone = ["hall-c", "hall-a", "hall-b"][usize::from(number % 3)];
     PublishedTarget {
         zone: zone.parse().expect("a zone"),
@@ -32,12 +34,13 @@
     }
 }
 
-fn bound(count: u8, homes: &[&str]) -> Catalog {
-    let mut catalog = catalog((1..=count).map(placed).collect());
-    let mut bound = route(claims_address(), &[("claims", 1)]);
+/// Returns a catalog with one route that is restricted to these regions.
+fn restricted(count: u8, homes: &[&str]) -> Catalog {
+    let mut catalog = catalog((1..=count).map(target_in_zone).collect());
+    let mut restricted = route(claims_address(), &[("claims", 1)]);
     let homes = homes.iter().map(|home| home.parse().expect("a region"));
-    bound.homes = homes.collect();
-    catalog.routes = vec![bound].into();
+    restricted.homes = homes.collect();
+    catalog.routes = vec![restricted].into();
     catalog
 }
 
@@ -45,61 +48,61 @@
     agent.0.ip().octets()[3] % 3
 }
 
-struct HomeCase {
+struct RegionCase {
     name: &'static str,
     regions: &'static [(&'static str, &'static str)],
     homes: &'static [&'static str],
-    /// The remainders of the agents' numbers that may get flows; none: refused at once.
+    /// The zone numbers that may get flows; if empty, flows are refused at once.
     open: &'static [u8],
 }
 
-// Symptom: requests are served abroad. Cause: the regions of a route were read nowhere.
+// Guards against requests that are served outside the regions that their route is restricted to.
 #[test]
-fn a_route_that_is_bound_to_regions_goes_to_their_targets_alone() {
+fn flows_go_only_to_targets_in_the_regions_of_their_route() {
     let cases = [
-        HomeCase {
-            name: "bound to nothing",
-            regions: &THREE,
+        RegionCase {
+            name: "unrestricted",
+            regions: &THREE_REGIONS,
             homes: &[],
             open: &[0, 1, 2],
         },
-        HomeCase {
-            name: "its client's region, of two",
-            regions: &TWO,
+        RegionCase {
+            name: "the balancer's region, of two",
+            regions: &TWO_REGIONS,
             homes: &["lahore"],
             open: &[1],
         },
-        HomeCase {
+        RegionCase {
             name: "another region, of two",
-            regions: &TWO,
+            regions: &TWO_REGIONS,
             homes: &["karachi"],
             open: &[2],
         },
-        HomeCase {
+        RegionCase {
             name: "two of three",
-            regions: &THREE,
+            regions: &THREE_REGIONS,
             homes: &["quetta", "karachi"],
             open: &[0, 2],
         },
-        HomeCase {
+        RegionCase {
             name: "a region that no zone is in",
-            regions: &THREE,
+            regions: &THREE_REGIONS,
             homes: &["peshawar"],
             open: &[],
         },
-        HomeCase {
-            name: "no region is known of any zone",
+        RegionCase {
+            name: "no zone has a region",
             regions: &[],
             homes: &["lahore"],
             open: &[],
         },
     ];
     for case in cases {
-        let mut views = builder_with_regions(case.regions);
-        views.take(&bound(30, case.homes), at(0));
-        let view = views.build(at(0));
+        let mut builder = builder_with_regions(case.regions);
+        builder.apply(&restricted(30, case.homes), at(0));
+        let view = builder.build(at(0));
         let decisions = FlowBalancer::new(balancer());
-        // Those at home are busy, those abroad idle.
+        // Targets in the allowed regions are busy, all others are idle.
         for number in (1..=30).filter(|number| case.open.contains(&(number % 3))) {
             let report = LoadReport {
                 in_progress: 20,
@@ -130,12 +133,18 @@
     }
 }
 
-/// The agents that are shown an unknown flow's packet, with those who ask for others.
-fn shown(decisions: &FlowBalancer, views: &mut FlowViewBuilder, port: u16, now: Moment) -> Vec<u8> {
-    let view = views.build(now);
+/// Returns the zone numbers of the agents that receive a packet of an unknown flow, directly or by
+/// a delegated search.
+fn queried_zones(
+    decisions: &FlowBalancer,
+    builder: &mut FlowViewBuilder,
+    port: u16,
+    now: Moment,
+) -> Vec<u8> {
+    let view = builder.build(now);
     let step = decisions.handle_packet(&data(flow(port)), b"data", &view, now);
     let BalancerStep::Search(frames) = step else {
-        panic!("not searched for: {step:?}");
+        panic!("no search was started: {step:?}");
     };
     let mut zones: Vec<u8> = frames
         .iter()
@@ -154,53 +163,77 @@
     zones
 }
 
-/// Whether a flow that all who were shown its packet deny is told to be lost.
-fn is_lost(decisions: &FlowBalancer, views: &mut FlowViewBuilder, port: u16, now: Moment) -> bool {
-    let view = views.build(now);
-    let denied = (1..=9).map(|number| flow_update(flow(port), agent(number), FlowEvent::Absent));
-    let told = denied.filter_map(|note| decisions.handle_flow_update(&note, now).reset);
-    let told = told.count();
+/// Returns whether a flow is declared lost when every queried agent reports it as absent.
+fn is_declared_lost(
+    decisions: &FlowBalancer,
+    builder: &mut FlowViewBuilder,
+    port: u16,
+    now: Moment,
+) -> bool {
+    let view = builder.build(now);
+    let absent = (1..=9).map(|number| flow_update(flow(port), agent(number), FlowEvent::Absent));
+    let resets = absent.filter_map(|note| decisions.handle_flow_update(&note, now).reset);
+    let resets = resets.count();
     let due = decisions.due_searches(&view, now + std::time::Duration::from_millis(30));
-    told > 0 || due.iter().any(|due| matches!(due, DueSearch::Lost(_)))
+    resets > 0 || due.iter().any(|due| matches!(due, DueSearch::Lost(_)))
 }
 
-// Symptom: a filing is seen abroad. Sequence: a balancer that has just started does not know its flow, and
-// shows the packet to everybody. A packet is shown only where the route's flows may be, or in the region to
-// which its client came. What is not asked proves nothing, until flows can be there no more.
+// Guards against packets that leave their route's regions: a balancer that has just started does
+// not know a flow and searches for it. The packet may only go to regions that may hold the flow,
+// and to the balancer's own region. The flow is not declared lost while regions that were not
+// queried may hold it.
 #[test]
-fn a_packet_of_an_unknown_flow_is_shown_where_it_may_be_and_no_further() {
+fn a_search_stays_in_the_regions_that_may_hold_the_flow() {
     let decisions = FlowBalancer::new(balancer());
-    let mut views = builder_with_regions(&THREE);
-    views.take(&bound(9, &["karachi"]), at(0));
-    // The own region and the home.
-    assert_eq!(shown(&decisions, &mut views, 1, at(0)), [1, 2]);
-    assert!(!is_lost(&decisions, &mut views, 1, at(5)));
-    // A flow's lifetime later it can be nowhere else.
-    assert_eq!(shown(&decisions, &mut views, 2, at(61_000)), [1, 2]);
-    assert!(is_lost(&decisions, &mut views, 2, at(61_005)));
-    // The operator moves the route: flows may still be where it led.
-    views.take(&bound(9, &["quetta"]), at(70_000));
-    assert_eq!(shown(&decisions, &mut views, 3, at(70_000)), [0, 1, 2]);
-    assert!(is_lost(&decisions, &mut views, 3, at(70_005)));
-    assert_eq!(shown(&decisions, &mut views, 4, at(131_000)), [0, 1]);
-    assert!(is_lost(&decisions, &mut views, 4, at(131_005)));
-    // Bound to nothing any more, and bound again: flows may be anywhere.
-    views.take(&bound(9, &[]), at(140_000));
-    assert_eq!(shown(&decisions, &mut views, 5, at(140_000)), [0, 1, 2]);
-    views.take(&bound(9, &["quetta"]), at(150_000));
-    assert_eq!(shown(&decisions, &mut views, 6, at(150_000)), [0, 1, 2]);
-    assert_eq!(shown(&decisions, &mut views, 7, at(211_000)), [0, 1]);
+    let mut builder = builder_with_regions(&THREE_REGIONS);
+    builder.apply(&restricted(9, &["karachi"]), at(0));
+    // The balancer's own region and the allowed region.
+    assert_eq!(queried_zones(&decisions, &mut builder, 1, at(0)), [1, 2]);
+    assert!(!is_declared_lost(&decisions, &mut builder, 1, at(5)));
+    // After a flow lifetime, no other region can hold the flow.
+    assert_eq!(
+        queried_zones(&decisions, &mut builder, 2, at(61_000)),
+        [1, 2]
+    );
+    assert!(is_declared_lost(&decisions, &mut builder, 2, at(61_005)));
+    // The operator moves the route: flows may still be in its former region.
+    builder.apply(&restricted(9, &["quetta"]), at(70_000));
+    assert_eq!(
+        queried_zones(&decisions, &mut builder, 3, at(70_000)),
+        [0, 1, 2]
+    );
+    assert!(is_declared_lost(&decisions, &mut builder, 3, at(70_005)));
+    assert_eq!(
+        queried_zones(&decisions, &mut builder, 4, at(131_000)),
+        [0, 1]
+    );
+    assert!(is_declared_lost(&decisions, &mut builder, 4, at(131_005)));
+    // The route becomes unrestricted, then restricted again: flows may be in any region.
+    builder.apply(&restricted(9, &[]), at(140_000));
+    assert_eq!(
+        queried_zones(&decisions, &mut builder, 5, at(140_000)),
+        [0, 1, 2]
+    );
+    builder.apply(&restricted(9, &["quetta"]), at(150_000));
+    assert_eq!(
+        queried_zones(&decisions, &mut builder, 6, at(150_000)),
+        [0, 1, 2]
+    );
+    assert_eq!(
+        queried_zones(&decisions, &mut builder, 7, at(211_000)),
+        [0, 1]
+    );
 }
 
 #[test]
-fn zones_without_a_region_are_told_once() {
-    let mut views = builder_with_regions(&TWO);
-    views.take(&bound(9, &[]), at(0));
-    let told = views.take_without_region();
+fn zones_without_a_region_are_reported_once() {
+    let mut builder = builder_with_regions(&TWO_REGIONS);
+    builder.apply(&restricted(9, &[]), at(0));
+    let zones = builder.take_zones_without_region();
     assert_eq!(
-        told.iter().map(|zone| zone.as_str()).collect::<Vec<_>>(),
+        zones.iter().map(|zone| zone.as_str()).collect::<Vec<_>>(),
         ["hall-c"]
     );
-    views.take(&bound(9, &[]), at(10));
-    assert!(views.take_without_region().is_empty());
+    builder.apply(&restricted(9, &[]), at(10));
+    assert!(builder.take_zones_without_region().is_empty());
 }
--- a/crates/flows/tests/all/ring.rs
+++ b/crates/flows/tests/all/ring.rs
@@ -1,6 +1,6 @@
-//! Where on a service's ring a flow may live.
+//! Tests of the search candidates of a flow on a service's ring.
 
-use lovagelatch_flows::{CANDIDATES, FlowKey};
+use lovagelatch_flows::{FlowKey, SEARCH_CANDIDATES};
 
 use crate::support::{claims, claims_view, flow};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_small_service_is_a_candidate_as_a_whole() {
+fn all_targets_of_a_small_service_are_candidates() {
     for count in 1..=16 {
         let mut found = candidates(count, &flow(1));
         found.sort();
@@ -21,17 +21,17 @@
     }
 }
 
-// Symptom: after a target joins, open flows are not found. Sequence: a balancer that saw the
-// join searches for a flow that one that had not seen it placed. Cause: a ring on which one
-// target moves many candidates.
+// Guards against open flows that are not found after a target joins: a balancer that knows of the
+// join searches for a flow placed by a balancer that did not, so a join must not change many
+// candidates.
 #[test]
-fn a_join_shifts_the_candidates_by_one() {
+fn a_join_changes_at_most_one_candidate() {
     for port in 0..200 {
         let flow = flow(port);
         let before = candidates(60, &flow);
         let after = candidates(61, &flow);
         let lost = before.iter().filter(|agent| !after.contains(agent)).count();
-        assert_eq!(before.len(), CANDIDATES);
+        assert_eq!(before.len(), SEARCH_CANDIDATES);
         assert!(lost <= 1, "{lost} candidates of {flow:?} changed");
     }
 }
--- a/crates/flows/tests/all/search.rs
+++ b/crates/flows/tests/all/search.rs
@@ -111,17 +111,17 @@
 #[test]
 fn a_flow_is_reset_only_when_nobody_else_can_hold_it() {
     let mut troubled = builder();
-    troubled.take(
+    troubled.apply(
         &catalog(vec![target(1, "claims"), target(2, "claims")]),
         at(0),
     );
-    troubled.note_trouble(at(0));
+    troubled.record_store_failure(at(0));
     let mut just_vanished = builder();
-    just_vanished.take(
+    just_vanished.apply(
         &catalog((1..=3).map(|n| target(n, "claims")).collect()),
         at(0),
     );
-    just_vanished.take(
+    just_vanished.apply(
         &catalog((1..=2).map(|n| target(n, "claims")).collect()),
         at(0),
     );
@@ -239,12 +239,12 @@
 #[test]
 fn targets_long_gone_do_not_make_a_fleet_large() {
     let mut builder = builder();
-    builder.take(
+    builder.apply(
         &catalog((0..=250).map(|n| target(n, "claims")).collect()),
         at(0),
     );
     let left: Vec<_> = (0..30).map(|n| target(n, "claims")).collect();
-    builder.take(&catalog(left), at(0));
+    builder.apply(&catalog(left), at(0));
     let view = builder.build(at(10_000));
     let balancer = FlowBalancer::new(balancer());
     let send = |millis| balancer.handle_packet(&data(flow(1)), b"data", &view, at(millis));
@@ -507,8 +507,8 @@
     for case in cases {
         let mut builder = builder();
         let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
-        builder.take(&targets(3), at(0));
-        builder.take(&targets(case.listed), at(0));
+        builder.apply(&targets(3), at(0));
+        builder.apply(&targets(case.listed), at(0));
         let view = builder.build(at(0));
         let balancer = FlowBalancer::new(balancer());
         query_all(&balancer, &view);
@@ -537,8 +537,8 @@
 fn a_silence_is_waited_for_once() {
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
     let mut builder = builder();
-    builder.take(&targets(3), at(0));
-    builder.take(&targets(2), at(0));
+    builder.apply(&targets(3), at(0));
+    builder.apply(&targets(2), at(0));
     let view = builder.build(at(0));
     let balancer = FlowBalancer::new(balancer());
     query_all(&balancer, &view);
@@ -570,8 +570,8 @@
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
     for (listed, ends) in [(2, true), (3, false)] {
         let mut builder = builder();
-        builder.take(&targets(3), at(0));
-        builder.take(&targets(listed), at(0));
+        builder.apply(&targets(3), at(0));
+        builder.apply(&targets(listed), at(0));
         let view = builder.build(at(0));
         let balancer = FlowBalancer::new(balancer());
         let stops = LoadReport {
@@ -597,10 +597,10 @@
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
     for stops in [true, false] {
         let mut builder = builder();
-        builder.take(&targets(3), at(0));
-        builder.note_trouble(at(0));
-        builder.set_returned(Some(at(100)));
-        builder.take(&targets(2), at(3_200));
+        builder.apply(&targets(3), at(0));
+        builder.record_store_failure(at(0));
+        builder.set_store_recovered_at(Some(at(100)));
+        builder.apply(&targets(2), at(3_200));
         let view = builder.build(at(3_200));
         assert!(view.is_complete());
         let balancer = FlowBalancer::new(balancer());
@@ -623,11 +623,11 @@
 #[test]
 fn a_vanished_target_that_answers_keeps_its_flow() {
     let mut builder = builder();
-    builder.take(
+    builder.apply(
         &catalog(vec![target(1, "claims"), target(2, "claims")]),
         at(0),
     );
-    builder.take(&catalog(vec![target(1, "claims")]), at(0));
+    builder.apply(&catalog(vec![target(1, "claims")]), at(0));
     let view = builder.build(at(0));
     let balancer = FlowBalancer::new(balancer());
     query_all(&balancer, &view);
@@ -665,14 +665,14 @@
         let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
         let mut builder = builder();
         builder.set_informed(false);
-        builder.take(&targets(2), at(0));
+        builder.apply(&targets(2), at(0));
         let view = builder.build(at(0));
         let balancer = FlowBalancer::new(balancer());
         query_all(&balancer, &view);
         two_report_absent(&balancer, 1);
         let doubtful = balancer.due_searches(&view, at(40));
         assert_eq!(doubtful, [], "{}", case.name);
-        builder.take(&targets(case.listed), at(50));
+        builder.apply(&targets(case.listed), at(50));
         builder.set_informed(true);
         let view = builder.build(at(50));
         let due = balancer.next_due().expect("a step");
@@ -696,8 +696,8 @@
 #[test]
 fn a_search_that_proved_nothing_begins_again_with_the_next_packet() {
     let mut builder = builder();
-    builder.note_trouble(at(0));
-    builder.take(
+    builder.record_store_failure(at(0));
+    builder.apply(
         &catalog(vec![target(1, "claims"), target(2, "claims")]),
         at(0),
     );
@@ -709,7 +709,7 @@
     let early = balancer.handle_packet(&data(flow(1)), b"data", &view, at(50));
     assert_eq!(early, BalancerStep::Drop);
     let all = (1..=3).map(|number| target(number, "claims")).collect();
-    builder.take(&catalog(all), at(100));
+    builder.apply(&catalog(all), at(100));
     let view = builder.build(at(100));
     let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(200));
     assert_eq!(queried(step), agents(3));
--- a/crates/flows/tests/all/search_silence.rs
+++ b/crates/flows/tests/all/search_silence.rs
@@ -39,8 +39,8 @@
         return view_of(catalog_of(case.targets));
     }
     let mut builder = builder();
-    builder.take(&catalog_of(case.targets), at(0));
-    builder.take(&catalog_of(case.targets - 1), at(0));
+    builder.apply(&catalog_of(case.targets), at(0));
+    builder.apply(&catalog_of(case.targets - 1), at(0));
     builder.build(at(0))
 }
 
--- a/crates/flows/tests/all/search_size.rs
+++ b/crates/flows/tests/all/search_size.rs
@@ -6,7 +6,8 @@
 use lovagelatch_catalog::{PublishedTarget, TargetName};
 use lovagelatch_domain::AgentAddress;
 use lovagelatch_flows::{
-    BalancerStep, DueSearch, FlowBalancer, FlowView, LoadReport, PeerFrame, ViewCoverage, ViewDoubt,
+    BalancerStep, DoubtReason, DueSearch, FlowBalancer, FlowView, LoadReport, PeerFrame,
+    ViewCoverage,
 };
 
 use crate::empty_fleet::EmptyFleet;
@@ -66,9 +67,9 @@
     ];
     for case in cases {
         let mut builder = builder();
-        builder.take(&catalog(fleet(case.targets, 0..1)), at(0));
+        builder.apply(&catalog(fleet(case.targets, 0..1)), at(0));
         let first = u32::from(!case.former);
-        builder.take(&catalog(fleet(case.targets, first..2)), at(0));
+        builder.apply(&catalog(fleet(case.targets, first..2)), at(0));
         let view = builder.build(at(0));
         let balancer = FlowBalancer::new(balancer());
         let mut fleet = EmptyFleet::new(&balancer, &view, []);
@@ -109,7 +110,7 @@
 #[test]
 fn a_search_that_can_never_query_all_holders_is_abandoned_once() {
     let mut builder = builder();
-    builder.take(&catalog(fleet(40_000, 0..1)), at(0));
+    builder.apply(&catalog(fleet(40_000, 0..1)), at(0));
     let view = builder.build(at(0));
     let balancer = FlowBalancer::new(balancer());
     balancer.handle_packet(&data(flow(1)), b"data", &view, at(0));
@@ -159,7 +160,7 @@
         },
     ];
     let mut builder = builder();
-    builder.take(&catalog(fleet(136, 0..1)), at(0));
+    builder.apply(&catalog(fleet(136, 0..1)), at(0));
     let view = builder.build(at(0));
     for case in cases {
         let balancer = FlowBalancer::new(balancer()).with_link(case.link);
@@ -191,18 +192,18 @@
 #[test]
 fn a_view_reports_why_it_is_incomplete() {
     let mut builder = builder();
-    builder.take(&catalog(fleet(3, 0..1)), at(0));
+    builder.apply(&catalog(fleet(3, 0..1)), at(0));
     let coverage = |builder: &mut lovagelatch_flows::FlowViewBuilder, millis| {
         let view = builder.build(at(millis));
         assert_eq!(view.is_complete(), view.coverage == ViewCoverage::Complete);
         view.coverage
     };
     assert_eq!(coverage(&mut builder, 0), ViewCoverage::Complete);
-    builder.note_trouble(at(10));
-    let doubt = ViewCoverage::Doubtful(ViewDoubt::StoreTrouble);
+    builder.record_store_failure(at(10));
+    let doubt = ViewCoverage::Doubtful(DoubtReason::StoreTrouble);
     assert_eq!(coverage(&mut builder, 20), doubt);
     builder.set_informed(false);
-    let doubt = ViewCoverage::Doubtful(ViewDoubt::NotInformed);
+    let doubt = ViewCoverage::Doubtful(DoubtReason::NotInformed);
     assert_eq!(coverage(&mut builder, 30), doubt);
     assert_eq!(FlowView::default().coverage, doubt);
 }
--- a/crates/flows/tests/all/support.rs
+++ b/crates/flows/tests/all/support.rs
@@ -125,7 +125,7 @@
 
 pub(crate) fn view_of(catalog: Catalog) -> FlowView {
     let mut builder = builder();
-    builder.take(&catalog, at(0));
+    builder.apply(&catalog, at(0));
     builder.build(at(0))
 }
 
--- a/crates/flows/tests/all/view.rs
+++ b/crates/flows/tests/all/view.rs
@@ -1,4 +1,4 @@
-//! Views: what a catalog alone cannot tell.
+//! Tests of what views contain besides the catalog: removed targets, former services and coverage.
 
 use std::net::SocketAddrV4;
 
@@ -14,55 +14,55 @@
     Some(found.standing)
 }
 
-struct VanishCase {
+struct RemovalCase {
     name: &'static str,
-    /// Milliseconds before the entry vanishes at which the store had trouble.
-    trouble_before: Option<u64>,
+    /// How long before the entry disappears the store failed, in milliseconds.
+    failure_before_ms: Option<u64>,
     leaving: bool,
-    /// Milliseconds after the entry vanished.
-    later: u64,
+    /// How long after the entry disappeared the view is checked, in milliseconds.
+    checked_after_ms: u64,
     expected: FlowStanding,
 }
 
-// Symptom: half of a service's targets get no new flows for seconds after the store was away.
-// Sequence: the store is down; entries of living targets expire; it comes back and lists fewer
-// targets for up to two seconds. Cause: an expired entry was taken for a dead target.
+// Guards against live targets that get no new flows for seconds after a store failure: their
+// entries expire while the store is down, and for up to two seconds after its recovery it lists
+// fewer targets.
 #[test]
-fn an_entry_that_vanishes_proves_nothing_while_the_store_has_trouble() {
+fn an_entry_that_disappears_around_a_store_failure_is_lapsed() {
     let cases = [
-        VanishCase {
-            name: "calm store",
-            trouble_before: None,
+        RemovalCase {
+            name: "no store failure",
+            failure_before_ms: None,
             leaving: false,
-            later: 0,
+            checked_after_ms: 0,
             expected: FlowStanding::Leaving,
         },
-        VanishCase {
-            name: "store was away",
-            trouble_before: Some(3_000),
+        RemovalCase {
+            name: "store failed recently",
+            failure_before_ms: Some(3_000),
             leaving: false,
-            later: 0,
+            checked_after_ms: 0,
             expected: FlowStanding::Lapsed,
         },
-        VanishCase {
+        RemovalCase {
             name: "still missing two seconds later",
-            trouble_before: Some(3_000),
+            failure_before_ms: Some(3_000),
             leaving: false,
-            later: 2_000,
+            checked_after_ms: 2_000,
             expected: FlowStanding::Leaving,
         },
-        VanishCase {
-            name: "store was away long ago",
-            trouble_before: Some(20_000),
+        RemovalCase {
+            name: "store failed long ago",
+            failure_before_ms: Some(20_000),
             leaving: false,
-            later: 0,
+            checked_after_ms: 0,
             expected: FlowStanding::Leaving,
         },
-        VanishCase {
-            name: "it was leaving anyway",
-            trouble_before: Some(3_000),
+        RemovalCase {
+            name: "target was already leaving",
+            failure_before_ms: Some(3_000),
             leaving: true,
-            later: 0,
+            checked_after_ms: 0,
             expected: FlowStanding::Leaving,
         },
     ];
@@ -70,12 +70,12 @@
         let mut builder = builder();
         let mut second = target(2, "claims");
         second.leaving = case.leaving;
-        builder.take(&catalog(vec![target(1, "claims"), second]), at(0));
-        if let Some(before) = case.trouble_before {
-            builder.note_trouble(at(30_000 - before));
+        builder.apply(&catalog(vec![target(1, "claims"), second]), at(0));
+        if let Some(before) = case.failure_before_ms {
+            builder.record_store_failure(at(30_000 - before));
         }
-        builder.take(&catalog(vec![target(1, "claims")]), at(30_000));
-        let view = builder.build(at(30_000 + case.later));
+        builder.apply(&catalog(vec![target(1, "claims")]), at(30_000));
+        let view = builder.build(at(30_000 + case.checked_after_ms));
         assert_eq!(standing(&view, 2), Some(case.expected), "{}", case.name);
         assert_eq!(
             standing(&view, 1),
@@ -87,53 +87,54 @@
 }
 
 #[test]
-fn a_view_is_complete_only_long_after_trouble() {
+fn a_view_is_incomplete_for_six_seconds_after_a_store_failure() {
     let mut builder = builder();
-    builder.take(&catalog(vec![target(1, "claims")]), at(0));
+    builder.apply(&catalog(vec![target(1, "claims")]), at(0));
     assert!(builder.build(at(0)).is_complete());
-    builder.note_trouble(at(1_000));
+    builder.record_store_failure(at(1_000));
     assert!(!builder.build(at(1_000)).is_complete());
     assert!(!builder.build(at(6_900)).is_complete());
     assert!(builder.build(at(7_100)).is_complete());
 }
 
-/// Guards against flows of dead targets that are told later than two seconds after the store's return.
+/// Guards against lost flows of dead targets that are reported later than two seconds after the
+/// store recovers.
 #[test]
-fn a_view_is_complete_two_seconds_after_the_stores_return() {
+fn a_view_is_complete_two_seconds_after_the_store_recovers() {
     let mut builder = builder();
-    builder.take(&catalog(vec![target(1, "claims")]), at(0));
-    builder.note_trouble(at(1_000));
-    builder.set_returned(Some(at(1_200)));
+    builder.apply(&catalog(vec![target(1, "claims")]), at(0));
+    builder.record_store_failure(at(1_000));
+    builder.set_store_recovered_at(Some(at(1_200)));
     assert!(!builder.is_complete(at(3_199)));
     assert_eq!(builder.next_change(at(1_300)), Some(at(3_200)));
     assert!(builder.is_complete(at(3_200)));
-    // It went away again: what it answered in between counts no more.
-    builder.note_trouble(at(3_300));
-    builder.set_returned(None);
+    // The store fails again, which invalidates the first recovery.
+    builder.record_store_failure(at(3_300));
+    builder.set_store_recovered_at(None);
     assert!(!builder.is_complete(at(5_000)));
-    builder.set_returned(Some(at(5_500)));
+    builder.set_store_recovered_at(Some(at(5_500)));
     assert!(!builder.is_complete(at(7_499)));
     assert!(builder.is_complete(at(7_500)));
 }
 
-// Symptom: a balancer that has just started resets flows whose targets live. Sequence: the store
-// comes back without the entries that expired; a balancer starts and reads its list before another
-// balancer has told it of the trouble. Cause: what it had not heard was taken not to have been.
+// Guards against a balancer that has just started and resets flows of live targets: the store
+// recovers without the entries that expired, and the balancer reads the list before another
+// balancer has informed it of the failure.
 #[test]
-fn a_process_that_nobody_has_informed_is_sure_of_nothing() {
+fn a_view_is_incomplete_until_the_process_is_informed() {
     let mut builder = builder();
     builder.set_informed(false);
-    builder.take(&catalog(vec![target(1, "claims")]), at(0));
+    builder.apply(&catalog(vec![target(1, "claims")]), at(0));
     assert!(!builder.build(at(0)).is_complete());
     builder.set_informed(true);
     assert!(builder.build(at(0)).is_complete());
 }
 
 #[test]
-fn a_target_is_remembered_for_a_flows_lifetime() {
+fn a_removed_target_is_retained_for_a_flow_lifetime() {
     let mut builder = builder();
-    builder.take(&catalog(vec![target(1, "claims")]), at(0));
-    builder.take(&catalog(Vec::new()), at(1_000));
+    builder.apply(&catalog(vec![target(1, "claims")]), at(0));
+    builder.apply(&catalog(Vec::new()), at(1_000));
     assert_eq!(
         standing(&builder.build(at(60_000)), 1),
         Some(FlowStanding::Leaving)
@@ -141,18 +142,18 @@
     assert_eq!(standing(&builder.build(at(62_000)), 1), None);
 }
 
-// Symptom: feeds go silent when an operator sends a route to another service. Sequence: the
-// route changes; a balancer starts; a packet of a flow at the old service arrives there. Cause:
-// it searched the new service alone.
+// Guards against flows that go silent after a route is changed to another service: packets of flows
+// at the old service may reach a balancer that does not know them, and it must not search only the
+// new service.
 #[test]
-fn a_route_remembers_the_services_it_left() {
+fn a_route_retains_its_former_services() {
     let with_route = |name: &str| Catalog {
         routes: vec![route(claims_address(), &[(name, 1)])].into(),
         ..catalog(vec![target(1, "claims"), target(2, "vault")])
     };
     let mut builder = builder();
-    builder.take(&with_route("claims"), at(0));
-    builder.take(&with_route("vault"), at(1_000));
+    builder.apply(&with_route("claims"), at(0));
+    builder.apply(&with_route("vault"), at(1_000));
     let view = builder.build(at(1_000));
     let found = view.route(&flow(1)).expect("the route");
     assert_eq!(
@@ -166,13 +167,13 @@
 }
 
 #[test]
-fn weights_share_out_new_flows() {
+fn new_flows_are_distributed_by_weight() {
     let mut builder = builder();
     let routes = vec![route(
         claims_address(),
         &[("claims", 90), ("vault", 10), ("none", 0)],
     )];
-    builder.take(
+    builder.apply(
         &Catalog {
             routes: routes.into(),
             ..catalog(Vec::new())
@@ -203,52 +204,52 @@
 }
 
 #[test]
-fn a_restarted_target_keeps_its_agent() {
+fn an_agent_with_a_restarted_target_is_not_unlisted() {
     let mut builder = builder();
-    builder.take(&catalog(vec![target(1, "claims")]), at(0));
+    builder.apply(&catalog(vec![target(1, "claims")]), at(0));
     let successor = PublishedTarget {
         name: TargetName("i-other".into()),
         ..target(1, "claims")
     };
-    builder.take(&catalog(vec![successor]), at(1_000));
+    builder.apply(&catalog(vec![successor]), at(1_000));
     let view = builder.build(at(1_000));
     assert!(view.unlisted_agents(FlowStanding::Leaving).is_empty());
 }
 
-struct RebirthCase {
+struct RestartCase {
     name: &'static str,
-    /// What the store says of the new start.
-    again: fn(&mut PublishedTarget),
+    /// Changes the entry to that of the new start.
+    restart: fn(&mut PublishedTarget),
 }
 
-// Symptom: a target that has just started gets its full share of new flows and is late with all of
-// them, or flows of its former start are asked for at both. Sequence: a target crashes and starts again
-// under the name that it had. Cause: what was known of the name was taken for the new start's.
+// Guards against state of a crashed target that is applied to its restart under the same name: the
+// restarted target would get its full share of new flows while it is cold, or both starts would be
+// queried for flows of the first one.
 #[test]
-fn another_start_under_the_same_name_is_another_target() {
+fn a_restart_under_the_same_name_is_a_different_target() {
     let cases = [
-        RebirthCase {
-            name: "it started later",
-            again: |target| target.start = TargetStart(9_000),
+        RestartCase {
+            name: "later start time",
+            restart: |target| target.start = TargetStart(9_000),
         },
-        RebirthCase {
-            name: "its clock was set back",
-            again: |target| target.start = TargetStart(4_000),
+        RestartCase {
+            name: "earlier start time: the clock was set back",
+            restart: |target| target.start = TargetStart(4_000),
         },
-        RebirthCase {
-            name: "it does not say when it started",
-            again: |target| target.start = TargetStart::default(),
+        RestartCase {
+            name: "no start time",
+            restart: |target| target.start = TargetStart::default(),
         },
-        RebirthCase {
-            name: "it serves another service now",
-            again: |target| {
+        RestartCase {
+            name: "different service",
+            restart: |target| {
                 target.start = TargetStart(9_000);
                 target.service = service("vault");
             },
         },
-        RebirthCase {
-            name: "it is on another machine",
-            again: |target| {
+        RestartCase {
+            name: "different machine",
+            restart: |target| {
                 target.start = TargetStart(9_000);
                 target.address.set_ip([10, 1, 0, 9].into());
             },
@@ -259,14 +260,14 @@
             start: TargetStart(5_000),
             ..target(1, "claims")
         };
-        let mut again = PublishedTarget {
+        let mut restarted = PublishedTarget {
             warming_ms: 2_000,
             ..first.clone()
         };
-        (case.again)(&mut again);
+        (case.restart)(&mut restarted);
         let mut builder = builder();
-        builder.take(&catalog(vec![first]), at(0));
-        builder.take(&catalog(vec![again.clone()]), at(30_000));
+        builder.apply(&catalog(vec![first]), at(0));
+        builder.apply(&catalog(vec![restarted.clone()]), at(30_000));
         let view = builder.build(at(30_000));
         let rings = [claims(), service("vault").id()].map(|service| view.service(service));
         let targets = rings.into_iter().flatten().flat_map(|ring| ring.targets());
@@ -274,7 +275,7 @@
         let [only] = targets[..] else {
             panic!("{}: {targets:?}", case.name);
         };
-        let service = again.service.id();
+        let service = restarted.service.id();
         assert_eq!(
             (only.service, only.listed),
             (service, true),
@@ -282,7 +283,7 @@
             case.name
         );
         assert_eq!(only.warm_at, at(32_000), "{}", case.name);
-        assert_eq!(only.agent.0.ip(), again.address.ip(), "{}", case.name);
+        assert_eq!(only.agent.0.ip(), restarted.address.ip(), "{}", case.name);
     }
 }
 
@@ -295,53 +296,53 @@
     catalog
 }
 
-struct StrangeCase {
+struct UnreadableCase {
     name: &'static str,
-    /// The store's list before the entry turned strange; `None` for a process that starts.
+    /// The catalog before the entry became unreadable; `None` for a process that has just started.
     before: Option<Catalog>,
     /// Milliseconds until the view is complete.
-    complete_after: u64,
+    complete_after_ms: u64,
 }
 
-// Symptom: for as long as an entry of another writer stands in the store, no lost flow is told. Cause: a
-// view was in doubt while any entry could not be read.
+// Guards against lost flows that are not reported for as long as the store holds an unreadable
+// entry of another writer.
 #[test]
-fn an_unreadable_entry_leaves_a_doubt_for_a_while_only() {
+fn an_unreadable_entry_makes_a_view_incomplete_only_for_a_limited_time() {
     let both = || catalog(vec![target(1, "claims"), target(2, "claims")]);
     let cases = [
-        StrangeCase {
-            name: "the target is known: it is asked, and there is no doubt",
+        UnreadableCase {
+            name: "known target: it is queried, so the view is complete",
             before: Some(both()),
-            complete_after: 0,
+            complete_after_ms: 0,
         },
-        StrangeCase {
-            name: "it was never known: a living one writes its entry anew before this",
+        UnreadableCase {
+            name: "unknown target: a live one would have rewritten its entry by then",
             before: None,
-            complete_after: 4_000,
+            complete_after_ms: 4_000,
         },
     ];
     for case in cases {
         let mut builder = builder();
         if let Some(before) = &case.before {
-            builder.take(before, at(0));
+            builder.apply(before, at(0));
         }
-        let strange = with_unreadable(both(), "i-2-claims");
-        builder.take(&strange, at(10_000));
-        let due = at(10_000 + case.complete_after);
-        if case.complete_after > 0 {
-            let early = at(9_999 + case.complete_after);
+        let unreadable = with_unreadable(both(), "i-2-claims");
+        builder.apply(&unreadable, at(10_000));
+        let due = at(10_000 + case.complete_after_ms);
+        if case.complete_after_ms > 0 {
+            let early = at(9_999 + case.complete_after_ms);
             assert!(!builder.is_complete(early), "{}", case.name);
         }
         assert!(builder.is_complete(due), "{}", case.name);
-        // It stands all day; another process's news do not begin the doubt anew.
-        builder.take(&strange, at(60_000));
+        // The entry persists: applying it again does not restart the timeout.
+        builder.apply(&unreadable, at(60_000));
         assert!(builder.is_complete(at(60_000)), "{}", case.name);
         let view = builder.build(at(10_000));
         let ring = view.service(claims()).expect("a service");
         let usable = ring.targets().iter().filter(|target| target.listed);
         assert_eq!(usable.count(), 1, "{}", case.name);
-        // Whole again: as if nothing had been.
-        builder.take(&both(), at(70_000));
+        // The entry becomes readable again.
+        builder.apply(&both(), at(70_000));
         let view = builder.build(at(70_000));
         let ring = view.service(claims()).expect("a service");
         assert!(
@@ -352,16 +353,16 @@
     }
 }
 
-// Symptom: targets that started long ago get fewer new flows than their share. Sequence: targets
-// are replaced one after the other; each change brings a new view. Cause: with each view the
-// warm-up of every target was counted from its beginning again.
+// Guards against warm targets that get fewer new flows than their share: targets are replaced one
+// after the other, and each change creates a view, which must not restart the warm-up of all
+// targets.
 #[test]
-fn a_warm_up_is_not_begun_again_by_another_targets_change() {
+fn a_change_of_one_target_does_not_restart_the_warm_up_of_others() {
     let mut fresh = target(1, "claims");
     fresh.warming_ms = 5_000;
     let mut builder = builder();
-    builder.take(&catalog(vec![fresh.clone()]), at(0));
-    builder.take(&catalog(vec![fresh, target(2, "claims")]), at(4_000));
+    builder.apply(&catalog(vec![fresh.clone()]), at(0));
+    builder.apply(&catalog(vec![fresh, target(2, "claims")]), at(4_000));
     let view = builder.build(at(4_000));
     let ring = view.service(claims()).expect("the service");
     let warm_at: Vec<_> = ring.targets().iter().map(|target| target.warm_at).collect();
--- a/crates/flows/tests/all/view_changes.rs
+++ b/crates/flows/tests/all/view_changes.rs
@@ -1,4 +1,4 @@
-//! A view that follows changes is the same as one that is made from the whole catalog.
+//! Tests that applying catalog changes gives the same view as applying the whole catalog.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use crate::support::{at, builder, claims, claims_address, flow, route, service, target};
 
-/// Something that happens between two views.
+/// An event between two views.
 #[derive(Clone, Copy, Debug)]
 enum ViewStep {
     Listed {
@@ -32,7 +32,7 @@
         both: bool,
     },
     Unrouted,
-    Trouble,
+    StoreFailure,
     Time {
         seconds: u8,
     },
@@ -55,7 +55,7 @@
                 both: bool::arbitrary(source),
             },
             7 => Self::Unrouted,
-            8 => Self::Trouble,
+            8 => Self::StoreFailure,
             _ => Self::Time {
                 seconds: u8::arbitrary(source) % 40,
             },
@@ -85,7 +85,7 @@
             start,
         } => {
             let mut row = target(number, if vault { "vault" } else { "claims" });
-            // The same name whatever the service: a row that moves.
+            // The name does not depend on the service, so that targets move between services.
             row.name = TargetName(format!("i-{number}").into());
             row.leaving = leaving;
             row.start = TargetStart(start);
@@ -103,7 +103,7 @@
             Some(config(vec![route(claims_address(), shares)]))
         }
         ViewStep::Unrouted => Some(config(Vec::new())),
-        ViewStep::Trouble | ViewStep::Time { .. } => None,
+        ViewStep::StoreFailure | ViewStep::Time { .. } => None,
     }
 }
 
@@ -128,29 +128,29 @@
 }
 
 quickcheck! {
-    fn following_changes_and_taking_the_whole_catalog_agree(steps: Vec<ViewStep>) -> bool {
+    fn applying_changes_equals_applying_the_whole_catalog(steps: Vec<ViewStep>) -> bool {
         let mut tables = CatalogTables::default();
-        let (mut following, mut whole) = (builder(), builder());
+        let (mut incremental, mut whole) = (builder(), builder());
         let (mut revision, mut seconds) = (0, 1);
         for step in steps {
             let now = at(seconds * 1_000);
             match step {
-                ViewStep::Trouble => {
-                    following.note_trouble(now);
-                    whole.note_trouble(now);
+                ViewStep::StoreFailure => {
+                    incremental.record_store_failure(now);
+                    whole.record_store_failure(now);
                 }
-                ViewStep::Time { seconds: passed } => seconds += u64::from(passed),
+                ViewStep::Time { seconds: elapsed } => seconds += u64::from(elapsed),
                 _ => {
                     revision += 1;
                     let events = event_of(step, revision).into_iter();
                     let events = events.map(|event| (revision, event)).collect();
                     tables.apply_events(StoreAnswer { events, revision });
                     let changes = tables.take_changes();
-                    following.take_changes(tables.catalog(), &changes, now);
-                    whole.take(tables.catalog(), now);
+                    incremental.apply_changes(tables.catalog(), &changes, now);
+                    whole.apply(tables.catalog(), now);
                 }
             }
-            if differ(&following.build(now), &whole.build(now)) {
+            if differ(&incremental.build(now), &whole.build(now)) {
                 return false;
             }
         }
@@ -159,9 +159,9 @@
 }
 
 #[test]
-fn a_target_that_came_and_went_between_two_views_is_not_listed() {
+fn a_target_added_and_removed_between_two_views_is_not_listed() {
     let mut tables = CatalogTables::default();
-    let mut following = builder();
+    let mut incremental = builder();
     for (revision, step) in [
         (
             1,
@@ -186,8 +186,8 @@
         tables.apply_events(StoreAnswer { events, revision });
     }
     let changes = tables.take_changes();
-    following.take_changes(tables.catalog(), &changes, at(0));
-    let view = following.build(at(0));
+    incremental.apply_changes(tables.catalog(), &changes, at(0));
+    let view = incremental.build(at(0));
     let targets = view
         .service(claims())
         .map_or(&[][..], |ring| ring.targets());
--- a/crates/flows/tests/all/warmup.rs
+++ b/crates/flows/tests/all/warmup.rs
@@ -484,7 +484,7 @@
 fn offers_carry_the_warmup_limit_and_its_remaining_time() {
     let flow_balancer = FlowBalancer::new(balancer());
     let mut views = builder();
-    views.take(
+    views.apply(
         &catalog_with_rule(vec![cold_target(1, 2_000)], Some(20.0)),
         at(0),
     );
@@ -502,7 +502,7 @@
         Some((20, 0))
     );
     // The same list again, whose entry may be stale.
-    views.take(
+    views.apply(
         &catalog_with_rule(vec![cold_target(1, 2_000)], Some(20.0)),
         at(1_600),
     );
@@ -512,7 +512,7 @@
         Some((20, 400))
     );
     // Cold again: its zone came back, or it restarted.
-    views.take(
+    views.apply(
         &catalog_with_rule(vec![cold_target(1, 1_900)], Some(20.0)),
         at(9_000),
     );
@@ -522,7 +522,7 @@
         Some((20, 1_900))
     );
     // The operator has removed the limit.
-    views.take(
+    views.apply(
         &catalog_with_rule(vec![cold_target(1, 1_900)], None),
         at(9_100),
     );
@@ -537,7 +537,7 @@
     let flow_balancer = FlowBalancer::new(balancer());
     let mut views = builder();
     let mut evacuated = catalog_with_rule(vec![target(1, "claims")], Some(20.0));
-    views.take(&evacuated, at(0));
+    views.apply(&evacuated, at(0));
     let view = views.build(at(0));
     assert_eq!(
         offered_limit(&flow_balancer, &view, 1, at(0)),
@@ -548,10 +548,10 @@
         "hall-a".parse().expect("a zone"),
     )]
     .into();
-    views.take(&evacuated, at(100));
+    views.apply(&evacuated, at(100));
     evacuated.zones_revision = 3;
     evacuated.evacuated = Vec::new().into();
-    views.take(&evacuated, at(8_000));
+    views.apply(&evacuated, at(8_000));
     let view = views.build(at(8_000));
     assert_eq!(
         offered_limit(&flow_balancer, &view, 2, at(8_000)),
@@ -574,7 +574,7 @@
         target(2, "claims"),
         target(3, "claims"),
     ];
-    views.take(&catalog_with_rule(targets, Some(20.0)), at(0));
+    views.apply(&catalog_with_rule(targets, Some(20.0)), at(0));
     let view = views.build(at(0));
     let report = |number: u8, room, in_progress| LoadReport {
         room,
--- a/crates/flows/tests/all/zones.rs
+++ b/crates/flows/tests/all/zones.rs
@@ -1,4 +1,4 @@
-//! Load pattern: a zone is evacuated, or several, while new flows come at their usual rate.
+//! Evacuation of zones while new flows keep arriving.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
     target, view_of,
 };
 
-/// Flows that each case offers.
+/// How many new flows arrive in each case.
 const FLOWS: u16 = 200;
 
-/// A target in one of four zones: hall-a, hall-b, hall-c, hall-d.
-fn zoned(number: u8) -> PublishedTarget {
+/// Returns a target in one of four zones: hall-a, hall-b, hall-c, hall-d.
+fn target_in_zone(number: u8) -> PublishedTarget {
     let zone = ["hall-d", "hall-a", "hall-b", "hall-c"][usize::from(number % 4)];
     PublishedTarget {
         zone: zone.parse().expect("a zone"),
@@ -28,7 +28,8 @@
     }
 }
 
-/// Targets beside agents 1 to `count`, with these zones evacuated by `revision`.
+/// Returns a catalog of targets beside agents 1 to `count`, with these zones evacuated at
+/// `revision`.
 fn evacuated(count: u8, zones: &[&str], revision: u64) -> Catalog {
     let zones = zones
         .iter()
@@ -36,7 +37,7 @@
     Catalog {
         zones_revision: revision,
         evacuated: zones.collect::<Vec<_>>().into(),
-        ..catalog((1..=count).map(zoned).collect())
+        ..catalog((1..=count).map(target_in_zone).collect())
     }
 }
 
@@ -66,7 +67,7 @@
 struct ZoneCase {
     name: &'static str,
     evacuated: &'static [&'static str],
-    /// The remainders of the agents' numbers that may get flows.
+    /// The zone numbers that may get flows.
     open: &'static [u8],
 }
 
@@ -87,18 +88,17 @@
         open: &[3],
     },
     ZoneCase {
-        name: "one that no target is in",
+        name: "a zone without targets",
         evacuated: &["hall-x"],
         open: &[0, 1, 2, 3],
     },
 ];
 
-// Symptom: targets of an evacuated zone get new flows until they are switched off. Sequence: the operator
-// evacuates a zone; clients open flows, and some first offers stay unanswered. Cause: nothing read the
-// operator's word. Every way to a target is gone through: the first choice, those who are tried next by
-// agents, the offer that is made when nobody answers, and the client's own copy.
+// Guards against targets of an evacuated zone that get new flows until they are shut down. Covers
+// every way in which a flow reaches a target: the balancer's first choice, the agents that are
+// tried next, the repeated offer after no answer, and the client's retransmission.
 #[test]
-fn no_way_leads_a_new_flow_to_an_evacuated_zone() {
+fn new_flows_never_reach_an_evacuated_zone() {
     for case in CASES {
         let view = evacuated_view(28, case.evacuated, 7);
         let decisions = FlowBalancer::new(balancer());
@@ -131,11 +131,11 @@
     }
 }
 
-// Symptom: clients wait for their deadlines. Sequence: every zone with targets is evacuated. Cause: their
-// flows were held, or offered in vain. And a flow was refused although a target was left: only the sixteen
-// that follow the flow's point were looked at.
+// Guards against two faults. Clients run into their deadlines when every zone with targets is
+// evacuated, because their flows are held or offered in vain. Flows are refused although a usable
+// target is left, because only the sixteen targets that follow the flow's point are considered.
 #[test]
-fn a_flow_is_refused_at_once_where_every_zone_is_evacuated_and_only_there() {
+fn a_flow_is_refused_only_if_every_zone_is_evacuated() {
     let decisions = FlowBalancer::new(balancer());
     let all = ["hall-a", "hall-b", "hall-c", "hall-d"];
     let view = evacuated_view(28, &all, 7);
@@ -143,10 +143,13 @@
         let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(0));
         assert_eq!(step, BalancerStep::Reset(RefusalReason::Evacuated));
     }
-    // Forty targets, of which one is not in an evacuated zone.
+    // Of these targets, only one is not in an evacuated zone.
     let mut few = evacuated(40, &all[..3], 8);
-    let mut targets: Vec<_> = (1..=40).filter(|n| n % 4 != 0).map(zoned).collect();
-    targets.push(zoned(4));
+    let mut targets: Vec<_> = (1..=40)
+        .filter(|n| n % 4 != 0)
+        .map(target_in_zone)
+        .collect();
+    targets.push(target_in_zone(4));
     few.targets = catalog(targets).targets;
     let view = view_of(few);
     for port in 0..FLOWS {
@@ -155,25 +158,25 @@
     }
 }
 
-// Symptom: a zone that has been evacuated for a minute gets flows for some milliseconds. Sequence: all
-// processes are killed; a balancer that starts learns the routes and targets before the zones. Cause: it
-// took "not told" for "none".
+// Guards against an evacuated zone that gets flows for some milliseconds after all processes were
+// killed: a balancer that starts learns the routes and targets before the zones, and must not treat
+// unknown zones as zones that are not evacuated.
 #[test]
 fn nothing_is_placed_before_the_evacuated_zones_are_known() {
     let decisions = FlowBalancer::new(balancer());
-    let untold = evacuated_view(4, &[], 0);
-    let step = decisions.handle_packet(&opening(flow(1)), b"syn", &untold, at(0));
+    let unknown = evacuated_view(4, &[], 0);
+    let step = decisions.handle_packet(&opening(flow(1)), b"syn", &unknown, at(0));
     assert_eq!(step, BalancerStep::Hold);
-    let told = evacuated_view(4, &["hall-a"], 1);
-    let step = decisions.handle_packet(&opening(flow(1)), b"syn", &told, at(10));
+    let known = evacuated_view(4, &["hall-a"], 1);
+    let step = decisions.handle_packet(&opening(flow(1)), b"syn", &known, at(10));
     assert_ne!(zone_number(sent(step).0), 1);
 }
 
 #[test]
-fn open_flows_stay_in_an_evacuated_zone_and_it_takes_new_ones_when_it_is_back() {
+fn an_evacuated_zone_keeps_open_flows_and_gets_new_ones_after_restoration() {
     let mut builder = builder();
     let decisions = FlowBalancer::new(balancer());
-    builder.take(&evacuated(4, &[], 1), at(0));
+    builder.apply(&evacuated(4, &[], 1), at(0));
     let view = builder.build(at(0));
     let mut homes = Vec::new();
     for port in 0..FLOWS {
@@ -183,15 +186,15 @@
         decisions.handle_flow_update(&flow_update(flow(port), to, FlowEvent::Opened), at(2));
         homes.push(to);
     }
-    builder.take(&evacuated(4, &["hall-a", "hall-b"], 2), at(10));
+    builder.apply(&evacuated(4, &["hall-a", "hall-b"], 2), at(10));
     let view = builder.build(at(10));
     for (port, home) in (0..).zip(&homes) {
         let step = decisions.handle_packet(&data(flow(port)), b"data", &view, at(11));
         assert_eq!(sent(step).0, *home);
     }
     assert!(homes.iter().any(|home| zone_number(*home) == 1));
-    // One comes back while another goes.
-    builder.take(&evacuated(4, &["hall-c"], 3), at(20));
+    // Two zones are restored while another is evacuated.
+    builder.apply(&evacuated(4, &["hall-c"], 3), at(20));
     let view = builder.build(at(20));
     let placed = (FLOWS..2 * FLOWS).map(|port| {
         let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(3_000));
@@ -201,12 +204,12 @@
     assert!(placed.contains(&1) && placed.contains(&2) && !placed.contains(&3));
 }
 
-// Symptom: a target gets a flow in a zone that is evacuated. Sequence: a target answers a first packet; its
-// zone is evacuated; its agent is started anew; the client's late copy comes and goes where the flow was
-// offered. Cause: the balancer vouched for the zone with its newest revision. A reset would be wrong as
-// well: the flow may be open.
+// Guards against a new flow in an evacuated zone: a target answers a first packet, its zone is
+// evacuated, its agent restarts, and a late retransmission of the client is sent to where the flow
+// was offered. The balancer must not send its newest zones revision with it. A reset would be wrong
+// too, because the flow may be open.
 #[test]
-fn a_late_copy_vouches_for_no_zone() {
+fn a_late_retransmission_carries_no_zones_revision() {
     let decisions = FlowBalancer::new(balancer());
     let view = evacuated_view(1, &[], 1);
     let (to, _) = sent(decisions.handle_packet(&opening(flow(1)), b"syn", &view, at(0)));
@@ -215,16 +218,16 @@
     let (to, copy) = sent(decisions.handle_packet(&opening(flow(1)), b"syn", &view, at(200)));
     assert_eq!((to, copy.zones_revision), (agent(1), 0));
 
-    let mut knows = informed_agent();
+    let mut informed = informed_agent();
     delivered(
-        knows
+        informed
             .handle_frame(offer(1, &[]), &opening(flow(1)), at(0))
             .0,
     );
-    knows.handle_target_packet(&answer(flow(1)), at(1));
-    knows.handle_zone_notice(&notice(2, true), at(0));
+    informed.handle_target_packet(&answer(flow(1)), at(1));
+    informed.handle_zone_notice(&notice(2, true), at(0));
     delivered(
-        knows
+        informed
             .handle_frame(copy.clone(), &opening(flow(1)), at(200))
             .0,
     );
@@ -236,76 +239,78 @@
     assert_eq!(note, None);
 }
 
-/// What an agent hears, in order.
-enum Heard {
-    /// A balancer's word.
+/// A message that an agent receives.
+enum AgentInput {
+    /// A zone notice with this revision, and whether the zone is evacuated.
     Notice(u64, bool),
-    /// An offer of a balancer that knows the zones up to this revision; whether the target is given it.
+    /// An offer from a balancer that knows the zones up to this revision, and whether the target
+    /// gets it.
     Offer(u64, bool),
 }
 
 struct AgentCase {
     name: &'static str,
-    heard: &'static [Heard],
+    inputs: &'static [AgentInput],
 }
 
 const AGENT_CASES: [AgentCase; 6] = [
     AgentCase {
-        name: "one that knows nothing goes by the offer",
-        heard: &[Heard::Offer(5, true)],
+        name: "an agent without a notice accepts the offer",
+        inputs: &[AgentInput::Offer(5, true)],
     },
     AgentCase {
-        name: "a balancer that has not heard",
-        heard: &[Heard::Notice(6, true), Heard::Offer(5, false)],
+        name: "the balancer does not know of the evacuation",
+        inputs: &[AgentInput::Notice(6, true), AgentInput::Offer(5, false)],
     },
     AgentCase {
-        name: "a balancer that has heard as much, and errs",
-        heard: &[Heard::Notice(6, true), Heard::Offer(6, false)],
+        name: "the balancer knows the revision and offers in error",
+        inputs: &[AgentInput::Notice(6, true), AgentInput::Offer(6, false)],
     },
     AgentCase {
-        name: "the zone was taken back, and the offer says so first",
-        heard: &[
-            Heard::Notice(6, true),
-            Heard::Offer(9, true),
-            Heard::Notice(6, true),
-            Heard::Offer(9, true),
+        name: "the zone was restored, and the offer arrives first",
+        inputs: &[
+            AgentInput::Notice(6, true),
+            AgentInput::Offer(9, true),
+            AgentInput::Notice(6, true),
+            AgentInput::Offer(9, true),
         ],
     },
     AgentCase {
-        name: "an old word of an evacuation that is over",
-        heard: &[
-            Heard::Notice(9, false),
-            Heard::Notice(6, true),
-            Heard::Offer(8, true),
+        name: "a stale notice of an evacuation that is over",
+        inputs: &[
+            AgentInput::Notice(9, false),
+            AgentInput::Notice(6, true),
+            AgentInput::Offer(8, true),
         ],
     },
     AgentCase {
-        name: "evacuated, taken back, evacuated",
-        heard: &[
-            Heard::Notice(6, true),
-            Heard::Notice(8, false),
-            Heard::Offer(8, true),
-            Heard::Notice(9, true),
-            Heard::Offer(8, false),
+        name: "evacuated, restored, evacuated",
+        inputs: &[
+            AgentInput::Notice(6, true),
+            AgentInput::Notice(8, false),
+            AgentInput::Offer(8, true),
+            AgentInput::Notice(9, true),
+            AgentInput::Offer(8, false),
         ],
     },
 ];
 
-// Symptom: a target of an evacuated zone gets flows from one balancer alone. Sequence: that balancer cannot
-// reach the others, and has not heard of the evacuation; the agents have. Cause: the agent took every offer.
+// Guards against a target of an evacuated zone that gets flows from a single balancer: that
+// balancer is isolated and does not know of the evacuation, but the agent does and must refuse the
+// offers.
 #[test]
-fn the_agent_has_the_last_word_by_the_newest_revision() {
+fn an_agent_refuses_offers_by_the_newest_zones_revision() {
     for case in AGENT_CASES {
         let mut decisions = informed_agent();
-        for (port, heard) in (1..).zip(case.heard) {
-            match *heard {
-                Heard::Notice(revision, evacuated) => {
+        for (port, input) in (1..).zip(case.inputs) {
+            match *input {
+                AgentInput::Notice(revision, evacuated) => {
                     decisions.handle_zone_notice(&notice(revision, evacuated), at(0));
                 }
-                Heard::Offer(revision, taken) => {
+                AgentInput::Offer(revision, accepted) => {
                     let offered = offer(revision, &[2]);
                     let (step, _) = decisions.handle_frame(offered, &opening(flow(port)), at(0));
-                    if taken {
+                    if accepted {
                         delivered(step);
                     } else {
                         assert_eq!(forwarded(step).0, 2, "{}", case.name);
@@ -314,7 +319,7 @@
             }
         }
     }
-    // Nobody is left: refused at once, and the balancer is told.
+    // No target is left: the flow is refused at once, and the balancer is notified.
     let mut decisions = informed_agent();
     assert!(
         decisions
@@ -323,16 +328,16 @@
     );
     let (step, note) = decisions.handle_frame(offer(5, &[]), &opening(flow(1)), at(0));
     assert_eq!(step, AgentStep::Reset);
-    assert_eq!(note.expect("a word").1.event, FlowEvent::Refused);
+    assert_eq!(note.expect("an update").1.event, FlowEvent::Refused);
 }
 
 #[test]
-fn an_offer_that_is_passed_on_keeps_what_its_balancer_knew() {
+fn a_forwarded_offer_keeps_its_zones_revision() {
     let mut decisions = informed_agent();
     decisions.handle_zone_notice(&notice(6, true), at(0));
     let (step, _) = decisions.handle_frame(offer(5, &[2]), &opening(flow(1)), at(0));
     let AgentStep::Forward { frame, .. } = step else {
-        panic!("not passed on: {step:?}");
+        panic!("not forwarded: {step:?}");
     };
     assert_eq!(frame.zones_revision, 5);
 }
@@ -345,31 +350,36 @@
     }
 }
 
-// Symptom: an agent learns of an evacuation from nobody. Cause: agents read no catalog. A balancer tells
-// those whose reports show that they lag, and nobody in calm.
+// Guards against agents that never learn of an evacuation, because they read no catalog: a balancer
+// notifies those agents whose load reports show an older revision, and no others.
 #[test]
-fn agents_that_lag_are_told_and_no_others() {
+fn only_agents_with_an_older_zones_revision_are_notified() {
     let decisions = FlowBalancer::new(balancer());
     let view = evacuated_view(4, &["hall-a"], 7);
-    let told = |number, revision| {
+    let notice_for = |number, revision| {
         let report = report(number, revision, false);
         let notice = decisions.zone_notice(&report, &view, at(50));
         notice.map(|notice| (notice.revision, notice.evacuated))
     };
-    assert_eq!(told(1, 0), Some((7, true)));
-    assert_eq!(told(2, 6), Some((7, false)));
-    assert_eq!(told(1, 7), None);
-    assert_eq!(told(1, 8), None);
-    assert_eq!(told(9, 0), None, "an agent that no list names");
+    assert_eq!(notice_for(1, 0), Some((7, true)));
+    assert_eq!(notice_for(2, 6), Some((7, false)));
+    assert_eq!(notice_for(1, 7), None);
+    assert_eq!(notice_for(1, 8), None);
+    assert_eq!(
+        notice_for(9, 0),
+        None,
+        "an agent that is not in the catalog"
+    );
     let mut decisions = informed_agent();
     decisions.handle_zone_notice(&notice(7, true), at(0));
     let load = decisions.handle_probe(balancer(), at(0));
     assert_eq!((load.zones_revision, load.evacuated), (7, true));
 }
 
-// Symptom: a balancer that lags offers flows to agents that have told it better, and each costs a way more.
+// Guards against a balancer with an older revision that offers flows to agents that have reported
+// their zone as evacuated. Each such offer costs an extra hop.
 #[test]
-fn a_balancer_goes_by_an_agents_later_word() {
+fn a_balancer_follows_a_newer_zones_revision_of_an_agent() {
     let decisions = FlowBalancer::new(balancer());
     let view = evacuated_view(2, &[], 5);
     decisions.record_load(&report(1, 6, true), at(0));
@@ -378,7 +388,7 @@
         let (to, frame) = sent(step);
         assert_eq!((to, frame.rest.len()), (agent(2), 0));
     }
-    // The zone is back by a later word than the agent has heard.
+    // The zone was restored at a later revision than the agent knows.
     let view = evacuated_view(2, &[], 8);
     let back = (FLOWS..2 * FLOWS).any(|port| {
         let step = decisions.handle_packet(&opening(flow(port)), b"syn", &view, at(0));
@@ -391,55 +401,56 @@
     );
 }
 
-/// Guards against new flows in an evacuated zone, where a balancer that cannot have heard of the evacuation meets an
-/// agent that has just started and has heard nothing at all.
+/// Guards against new flows in an evacuated zone when an isolated balancer, which may not know of
+/// the evacuation, makes offers to an agent that has just started and knows nothing about the
+/// zones.
 #[test]
-fn a_fresh_agent_takes_no_offer_of_a_balancer_that_is_cut_off() {
+fn a_restarted_agent_refuses_offers_of_an_isolated_balancer() {
     struct CutOffCase {
         name: &'static str,
         cut_off: bool,
-        /// The agent's last word about its zone.
-        told: Option<ZoneNotice>,
-        /// Whether the target is given the flow.
-        taken: bool,
+        /// The last notice that the agent received.
+        notice: Option<ZoneNotice>,
+        /// Whether the target gets the flow.
+        accepted: bool,
     }
     let cases = [
         CutOffCase {
-            name: "in touch",
+            name: "connected",
             cut_off: false,
-            told: None,
-            taken: true,
+            notice: None,
+            accepted: true,
         },
         CutOffCase {
-            name: "cut off, and the agent has heard nothing",
+            name: "isolated, and the agent has no notice",
             cut_off: true,
-            told: None,
-            taken: false,
+            notice: None,
+            accepted: false,
         },
         CutOffCase {
-            name: "cut off, and the agent knows that its zone takes flows",
+            name: "isolated, and the agent knows that its zone accepts flows",
             cut_off: true,
-            told: Some(notice(4, false)),
-            taken: true,
+            notice: Some(notice(4, false)),
+            accepted: true,
         },
         CutOffCase {
-            name: "cut off, and the agent knows of the evacuation",
+            name: "isolated, and the agent knows of the evacuation",
             cut_off: true,
-            told: Some(notice(6, true)),
-            taken: false,
+            notice: Some(notice(6, true)),
+            accepted: false,
         },
     ];
     for case in cases {
         let mut builder = builder();
         builder.set_cut_off(case.cut_off);
-        builder.take(&evacuated(1, &[], 5), at(0));
+        builder.apply(&evacuated(1, &[], 5), at(0));
         let view = builder.build(at(0));
         let decisions = FlowBalancer::new(balancer());
         let mut agent = restarted_agent();
-        if let Some(notice) = &case.told {
+        if let Some(notice) = &case.notice {
             agent.handle_zone_notice(notice, at(0));
         }
-        // What the balancer answers to the agent's first report.
+        // The balancer's reply to the agent's first load report.
         let report = agent.handle_probe(balancer(), at(1));
         if let Some(notice) = decisions.zone_notice(&report, &view, at(1)) {
             agent.handle_zone_notice(&notice, at(1));
@@ -447,25 +458,25 @@
         let step = decisions.handle_packet(&opening(flow(1)), b"syn", &view, at(2));
         let (_, offer) = sent(step);
         let (step, _) = agent.handle_frame(offer, &opening(flow(1)), at(2));
-        let taken = matches!(step, AgentStep::Deliver { .. });
-        assert_eq!(taken, case.taken, "{}: {step:?}", case.name);
+        let accepted = matches!(step, AgentStep::Deliver { .. });
+        assert_eq!(accepted, case.accepted, "{}: {step:?}", case.name);
     }
 }
 
-/// Guards against an agent that learns of its zone's evacuation from nobody, because the one balancer that knows of it
-/// is cut off.
+/// Guards against an agent that never learns of its zone's evacuation, because the only balancer
+/// that knows of it is isolated.
 #[test]
-fn a_balancer_that_is_cut_off_tells_of_evacuations_alone() {
+fn an_isolated_balancer_sends_notices_of_evacuated_zones_only() {
     let mut builder = builder();
     builder.set_cut_off(true);
-    builder.take(&evacuated(4, &["hall-a"], 7), at(0));
+    builder.apply(&evacuated(4, &["hall-a"], 7), at(0));
     let view = builder.build(at(0));
     let decisions = FlowBalancer::new(balancer());
-    let told = |number| {
+    let notice_for = |number| {
         let report = report(number, 0, false);
         let notice = decisions.zone_notice(&report, &view, at(50));
         notice.map(|notice| (notice.revision, notice.evacuated))
     };
-    assert_eq!(told(1), Some((7, true)));
-    assert_eq!(told(2), None);
+    assert_eq!(notice_for(1), Some((7, true)));
+    assert_eq!(notice_for(2), None);
 }
--- a/tests/matrix/src/opaque/process.rs
+++ b/tests/matrix/src/opaque/process.rs
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn take_catalog(&mut self, catalog: Catalog, now: Moment) {
-        self.builder.take(&catalog, now);
+        self.builder.apply(&catalog, now);
         self.view = self.builder.build(now);
     }
 }
--- a/tests/matrix/src/opaque/strike.rs
+++ b/tests/matrix/src/opaque/strike.rs
@@ -259,7 +259,7 @@
     /// The others' heads tell a fresh balancer of the store's trouble.
     fn inform(&self, balancer: &mut Balancer) {
         if self.mechanisms.lapses && self.trouble_at > Moment::ZERO {
-            balancer.builder.note_trouble(self.trouble_at);
+            balancer.builder.record_store_failure(self.trouble_at);
         }
     }
 
@@ -418,7 +418,7 @@
         self.last_trouble = now + DOUBT;
         for number in 0..self.balancers.len() {
             if self.mechanisms.lapses {
-                self.balancers[number].builder.note_trouble(now);
+                self.balancers[number].builder.record_store_failure(now);
             }
         }
         for machine in 0..self.machines.len() {
--- a/tests/matrix/src/opaque/world.rs
+++ b/tests/matrix/src/opaque/world.rs
@@ -845,7 +845,7 @@
         let balancer = &mut self.balancers[number];
         let ended = balancer
             .builder
-            .next_lapse_end()
+            .next_target_expiry()
             .is_some_and(|end| end <= now);
         if ended || balancer.builder.is_complete(now) != balancer.view.is_complete() {
             balancer.view = balancer.builder.build(now);
