--- a/bins/agent/src/opaque/notice.rs
+++ b/bins/agent/src/opaque/decision_log.rs
@@ -1,4 +1,4 @@
-//! Decision lines of the packet path, bounded in rate.
+//! Rate-limited decision log of the packet path.
 
 use std::time::Instant;
 
@@ -8,19 +8,18 @@
 };
 use lovagelatch_telemetry::{DecisionKind, LineBudget, Logger, info, warn};
 
-/// Lines about flows a second, of each kind. An agent of today's users sees about 20 new flows a
-/// second.
-const FLOW_LINES: u32 = 100;
+/// Limit for log lines about flows, for each kind of line. Agents currently see about 20 new flows
+/// a second.
+const FLOW_LINES_PER_SECOND: u32 = 100;
 
-/// Lines a second about packets that found nobody, and about searches: anybody can send what leads
-/// to them.
-const REFUSED_LINES: u32 = 20;
+/// Limit for log lines about refused packets and about searches. Anybody can trigger these lines.
+const REFUSED_LINES_PER_SECOND: u32 = 20;
 
 /// Writes the packet thread's decision lines.
 pub(crate) struct DecisionLog {
     log: Logger,
     located: LineBudget,
-    passed: LineBudget,
+    forwarded: LineBudget,
     refused: LineBudget,
     searched: LineBudget,
 }
@@ -29,42 +28,44 @@
     pub(crate) fn new(log: Logger) -> Self {
         Self {
             log,
-            located: LineBudget::new(FLOW_LINES),
-            passed: LineBudget::new(FLOW_LINES),
-            refused: LineBudget::new(REFUSED_LINES),
-            searched: LineBudget::new(REFUSED_LINES),
+            located: LineBudget::new(FLOW_LINES_PER_SECOND),
+            forwarded: LineBudget::new(FLOW_LINES_PER_SECOND),
+            refused: LineBudget::new(REFUSED_LINES_PER_SECOND),
+            searched: LineBudget::new(REFUSED_LINES_PER_SECOND),
         }
     }
 
-    pub(crate) fn located(&mut self, note: &FlowUpdate) {
+    /// Logs what this agent reports to a balancer about a flow.
+    pub(crate) fn located(&mut self, update: &FlowUpdate) {
         let Some(left_out) = self.located.spend(Instant::now()) else {
             return;
         };
         info!(self.log, "flow located";
             "decision" => DecisionKind::FlowLocated,
-            "client" => note.flow.client.to_string(),
-            "address" => note.flow.service_address.to_string(),
-            "event" => format!("{:?}", note.event).to_lowercase(),
-            "in_progress" => note.load.in_progress,
-            "flows" => note.load.flows,
+            "client" => update.flow.client.to_string(),
+            "address" => update.flow.service_address.to_string(),
+            "event" => format!("{:?}", update.event).to_lowercase(),
+            "in_progress" => update.load.in_progress,
+            "flows" => update.load.flows,
             "left_out" => left_out);
     }
 
-    /// Writes what came of a search for a balancer.
-    pub(crate) fn searched(&mut self, word: &SearchResult) {
+    /// Logs the result of a delegated search.
+    pub(crate) fn searched(&mut self, result: &SearchResult) {
         let Some(left_out) = self.searched.spend(Instant::now()) else {
             return;
         };
         info!(self.log, "flow searched";
             "decision" => DecisionKind::FlowSearched,
-            "client" => word.flow.client.to_string(),
-            "address" => word.flow.service_address.to_string(),
-            "silent" => word.silent.len(),
+            "client" => result.flow.client.to_string(),
+            "address" => result.flow.service_address.to_string(),
+            "silent" => result.silent.len(),
             "left_out" => left_out);
     }
 
-    pub(crate) fn passed(&mut self, packet: &FlowPacket, to: AgentAddress, frame: &PacketFrame) {
-        let Some(left_out) = self.passed.spend(Instant::now()) else {
+    /// Logs that a packet is forwarded to another agent.
+    pub(crate) fn forwarded(&mut self, packet: &FlowPacket, to: AgentAddress, frame: &PacketFrame) {
+        let Some(left_out) = self.forwarded.spend(Instant::now()) else {
             return;
         };
         info!(self.log, "packet passed on";
@@ -77,7 +78,8 @@
             "left_out" => left_out);
     }
 
-    /// Writes that the target's zone is evacuated, or no longer; at most one line a change of the store's.
+    /// Logs that the target's zone is evacuated or no longer is. There is at most one line for each
+    /// change in the store.
     pub(crate) fn zone(&self, notice: &ZoneNotice) {
         let message = if notice.evacuated {
             "zone evacuated: the target gets no new flows"
@@ -90,7 +92,7 @@
             "age_ms" => notice.age.as_secs_f64() * 1_000.0);
     }
 
-    /// Writes that a packet went nowhere, with what the agent takes its target to be able to do.
+    /// Logs that a packet was not delivered, with the target's last known load and state.
     pub(crate) fn refused(
         &mut self,
         packet: &FlowPacket,
--- a/bins/agent/src/opaque/count.rs
+++ b/bins/agent/src/opaque/metrics.rs
@@ -1,37 +1,38 @@
-//! What an agent of opaque packets counts.
+//! Metrics of an agent for opaque packets.
 
 use lovagelatch_telemetry::{DURATION_BOUNDS, EventCounts, EventOutcome, Histogram, Meter};
 
 /// What became of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PacketOutcome {
-    /// Handed to the target, which holds the flow.
+    /// Delivered to the target, which holds the flow.
     Delivered,
-    /// Handed to the target on trial: a new flow, or one that it may hold.
+    /// Delivered to the target tentatively: a new flow, or one that the target may hold.
     Tried,
-    /// Sent on to another agent.
+    /// Forwarded to another agent.
     Passed,
-    /// Handed on for a balancer that does not hear the agent it is for.
+    /// Relayed for a balancer that gets no response from the destination agent.
     Relayed,
-    /// Sent back to the balancer.
+    /// Returned to the balancer.
     Returned,
-    /// Sent to its client.
+    /// Sent to the client.
     ToClient,
     /// Answered with a reset.
     Reset,
-    /// Shown to others for a balancer that searches for its flow.
+    /// Used for a delegated search: shown to other agents for a balancer that searches for the
+    /// flow.
     SearchedFor,
-    /// Nobody holds its flow.
+    /// Dropped: no known target holds the flow.
     Unheld,
-    /// Neither given to the target nor refused: its zone is evacuated, and its flow may be open.
+    /// Neither delivered nor refused: the target's zone is evacuated, and the flow may be open.
     HeldEvacuated,
-    /// Neither given to the target nor refused: what a cold target has been given is not known.
+    /// Neither delivered nor refused: it is unknown which flows a cold target has received.
     HeldCold,
-    /// A datagram was no packet.
+    /// The datagram is not a valid packet.
     Malformed,
-    /// A datagram between processes was no frame, or none for an agent.
+    /// The datagram is not a valid frame, or not one for agents.
     BadFrame,
-    /// The system refused to send.
+    /// The operating system did not accept the datagram for sending.
     NotSent,
 }
 
@@ -80,13 +81,13 @@
 /// The agent's packet counters.
 pub(crate) type PacketCounts = EventCounts<PacketOutcome>;
 
-/// What the packet path measures.
+/// The metrics of the packet path.
 #[derive(Clone, Debug)]
 pub(crate) struct PacketMetrics {
     pub(crate) packets: PacketCounts,
-    /// From a request to the first of its answer.
+    /// Time from a request to the first packet of its response.
     pub(crate) response_duration: Histogram<f64>,
-    /// From the store's word about the target's zone until it is in force here.
+    /// Time from a change of the target's zone in the store until it is in force here.
     pub(crate) zone_delay: Histogram<f64>,
 }
 
--- a/bins/agent/src/opaque/mod.rs
+++ b/bins/agent/src/opaque/mod.rs
@@ -1,12 +1,12 @@
-//! An agent of opaque packets.
+//! An agent for opaque packets.
 //!
 //! ```text
 //! balancers, agents --frames--> packet thread --> backend server
 //!        callers <-------------- (FlowAgent) <--------+
 //! ```
 
-mod count;
-mod notice;
+mod decision_log;
+mod metrics;
 mod packets;
 mod process;
 
--- a/bins/agent/src/opaque/packets.rs
+++ b/bins/agent/src/opaque/packets.rs
@@ -1,4 +1,4 @@
-//! The packet thread: frames to the target, the target's packets to callers.
+//! The packet thread: delivers frames to the target and sends the target's packets to callers.
 
 use std::io;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -17,60 +17,61 @@
 use lovagelatch_telemetry::EventOutcome;
 use parking_lot::Mutex;
 
-use super::count::{PacketCounts, PacketMetrics, PacketOutcome};
-use super::notice::DecisionLog;
+use super::decision_log::DecisionLog;
+use super::metrics::{PacketCounts, PacketMetrics, PacketOutcome};
 
-/// How often balancers that send here are told the load.
+/// How often the load is reported to the balancers that send packets here.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often silent flows are forgotten.
-const TEND_INTERVAL: Duration = Duration::from_secs(1);
+/// How often idle flows are expired.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the packet thread shares with the rest of the process.
+/// State shared between the packet thread and the rest of the process.
 pub(crate) struct PacketState {
-    /// One lock for all flows: a single thread carries the packets of a single target, and an
-    /// operator's question is rare.
+    /// A single lock for all flows is enough: one thread processes the packets of the one target,
+    /// and operators' queries are rare.
     pub(crate) agent: Mutex<FlowAgent>,
     pub(crate) clock: ProcessClock,
-    /// Packets carried so far, by which a stop sees that nothing moves any more.
-    pub(crate) carried: AtomicU64,
-    pub(crate) ended: AtomicBool,
+    /// Datagrams received so far; logged when the agent stops.
+    pub(crate) received: AtomicU64,
+    /// Set to stop the packet thread.
+    pub(crate) stopped: AtomicBool,
 }
 
 /// The sockets of the packet path.
 pub(crate) struct PacketSockets {
-    /// Frames of other processes.
+    /// Frames from and to other processes; packets to callers are sent here too.
     pub(crate) frames: UdpSocket,
-    /// The target's packets.
+    /// Packets from the target.
     pub(crate) outbound: UdpSocket,
-    /// To the target; connected, so that the system tells when nobody listens there.
+    /// Packets to the target. Connected, so that the kernel reports when nothing listens there.
     pub(crate) target: UdpSocket,
     pub(crate) target_address: SocketAddrV4,
-    /// The port at which every caller takes packets.
+    /// The port on which every caller receives packets.
     pub(crate) client_port: u16,
-    /// Where this agent takes frames.
-    pub(crate) own: AgentAddress,
+    /// The address at which this agent receives frames.
+    pub(crate) own_address: AgentAddress,
 }
 
-/// One packet thread.
+/// The state of the packet thread.
 pub(crate) struct PacketThread {
     state: Arc<PacketState>,
     sockets: PacketSockets,
     receiving: ReceiveBatch,
-    /// To the target.
-    inward: SendBatch,
-    /// To callers and other processes.
-    outward: SendBatch,
+    /// Packets to the target.
+    inbound: SendBatch,
+    /// Packets and frames to callers and other processes.
+    outbound: SendBatch,
     counts: PacketCounts,
     metrics: PacketMetrics,
     log: DecisionLog,
     idle: Duration,
     next_report: Moment,
-    next_tend: Moment,
+    next_expiry: Moment,
 }
 
 impl PacketThread {
-    /// `idle` is how long a silent flow is remembered.
+    /// `idle` is how long an idle flow is kept.
     pub(crate) fn new(
         state: Arc<PacketState>,
         sockets: PacketSockets,
@@ -82,45 +83,45 @@
             state,
             sockets,
             receiving: ReceiveBatch::new(),
-            inward: SendBatch::new(),
-            outward: SendBatch::new(),
+            inbound: SendBatch::new(),
+            outbound: SendBatch::new(),
             counts: metrics.packets.clone(),
             metrics,
             log,
             idle,
             next_report: Moment::ZERO,
-            next_tend: Moment::ZERO,
+            next_expiry: Moment::ZERO,
         }
     }
 
-    /// Carries packets until the state says to end.
+    /// Processes packets until [`PacketState::stopped`] is set.
     pub(crate) fn run(&mut self) -> io::Result<()> {
-        while !self.state.ended.load(Ordering::Relaxed) {
+        while !self.state.stopped.load(Ordering::Relaxed) {
             let now = self.state.clock.now();
-            let wait = self.next_wait(now);
+            let timeout = self.next_timeout(now);
             let sockets = [&self.sockets.outbound, &self.sockets.frames];
-            let [outbound, frames] = wait_readable(sockets, wait)?;
+            let [outbound, frames] = wait_readable(sockets, timeout)?;
             if outbound {
-                self.take_target_packets()?;
+                self.receive_target_packets()?;
             }
             if frames {
-                self.take_frames()?;
+                self.receive_frames()?;
             }
             self.flush();
-            self.keep_up();
+            self.run_periodic();
         }
         Ok(())
     }
 
-    fn next_wait(&self, now: Moment) -> Duration {
+    fn next_timeout(&self, now: Moment) -> Duration {
         let report = self.next_report.since(now);
-        let errand = self.state.agent.lock().next_search_deadline();
-        errand.map_or(report, |due| report.min(due.since(now)))
+        let search = self.state.agent.lock().next_search_deadline();
+        search.map_or(report, |deadline| report.min(deadline.since(now)))
     }
 
-    fn take_target_packets(&mut self) -> io::Result<()> {
+    fn receive_target_packets(&mut self) -> io::Result<()> {
         let count = self.receiving.receive_some(&self.sockets.outbound)?;
-        self.note_carried(count);
+        self.record_received(count);
         let now = self.state.clock.now();
         for index in 0..count {
             let mut bytes = [0; BUFFER_BYTES];
@@ -134,36 +135,36 @@
                 clear_returned(bytes);
             }
             let mut agent = self.state.agent.lock();
-            let (step, note) = agent.handle_target_packet(&packet, now);
-            let answered = agent.take_response_time();
+            let (step, update) = agent.handle_target_packet(&packet, now);
+            let response_time = agent.take_response_time();
             drop(agent);
-            if let Some(after) = answered {
-                let seconds = after.as_secs_f64();
+            if let Some(response_time) = response_time {
+                let seconds = response_time.as_secs_f64();
                 self.metrics.response_duration.record(seconds, &[]);
             }
-            self.carry_out(step, &packet, bytes);
-            self.send_note(note);
+            self.execute(step, &packet, bytes);
+            self.send_update(update);
         }
         Ok(())
     }
 
-    fn take_frames(&mut self) -> io::Result<()> {
+    fn receive_frames(&mut self) -> io::Result<()> {
         let count = self.receiving.receive_some(&self.sockets.frames)?;
-        self.note_carried(count);
+        self.record_received(count);
         let now = self.state.clock.now();
         for index in 0..count {
             let mut datagram = [0; BUFFER_BYTES];
             let length = self.receiving.datagram(index).copy_to(&mut datagram);
-            self.take_frame(&mut datagram[..length], now);
+            self.handle_frame(&mut datagram[..length], now);
         }
         Ok(())
     }
 
-    fn take_frame(&mut self, datagram: &mut [u8], now: Moment) {
+    fn handle_frame(&mut self, datagram: &mut [u8], now: Moment) {
         let (frame, packet) = match read_frame(datagram) {
             Ok((PeerFrame::Probe { balancer }, _)) => return self.answer_probe(balancer, now),
-            Ok((PeerFrame::Note(word), _)) => return self.take_word(&word),
-            Ok((PeerFrame::Zone(notice), _)) => return self.take_zone(&notice, now),
+            Ok((PeerFrame::Note(update), _)) => return self.handle_flow_update(&update),
+            Ok((PeerFrame::Zone(notice), _)) => return self.handle_zone_notice(&notice, now),
             Ok((PeerFrame::Relay { to }, inner)) => return self.relay(to, inner),
             Ok((frame, packet)) => (frame, packet),
             Err(_) => return self.counts.add(PacketOutcome::BadFrame),
@@ -176,40 +177,42 @@
         };
         match frame {
             PeerFrame::Packet(frame) => {
-                let (step, note) = self.state.agent.lock().handle_frame(frame, &packet, now);
-                self.carry_out(step, &packet, bytes);
-                self.send_note(note);
+                let (step, update) = self.state.agent.lock().handle_frame(frame, &packet, now);
+                self.execute(step, &packet, bytes);
+                self.send_update(update);
+            }
+            PeerFrame::Errand(search) => {
+                self.run_delegated_search(&search, &packet, bytes, now);
             }
-            PeerFrame::Errand(errand) => self.run_errand(&errand, &packet, bytes, now),
             _ => self.counts.add(PacketOutcome::BadFrame),
         }
     }
 
     fn answer_probe(&mut self, balancer: AgentAddress, now: Moment) {
         let report = self.state.agent.lock().handle_probe(balancer, now);
-        self.tell(balancer, &PeerFrame::Load(report));
+        self.send_frame(balancer, &PeerFrame::Load(report));
     }
 
-    /// Hands a frame on to an agent that its balancer does not hear.
+    /// Relays a frame to an agent from which the balancer gets no response.
     fn relay(&mut self, to: AgentAddress, inner: &[u8]) {
         if !is_relayable(inner) {
             return self.counts.add(PacketOutcome::BadFrame);
         }
         self.counts.add(PacketOutcome::Relayed);
-        self.push_outward(to.0, |out| copy_to(inner, out));
+        self.push_outbound(to.0, |out| copy_to(inner, out));
     }
 
-    fn take_zone(&mut self, notice: &ZoneNotice, now: Moment) {
+    fn handle_zone_notice(&mut self, notice: &ZoneNotice, now: Moment) {
         if let Some(age) = self.state.agent.lock().handle_zone_notice(notice, now) {
             self.log.zone(notice);
             self.metrics.zone_delay.record(age.as_secs_f64(), &[]);
         }
     }
 
-    /// Shows a packet to everybody that a balancer names.
-    fn run_errand(
+    /// Shows a packet to all agents that a balancer names in a delegated search.
+    fn run_delegated_search(
         &mut self,
-        errand: &DelegatedSearch,
+        search: &DelegatedSearch,
         packet: &FlowPacket,
         bytes: &mut [u8],
         now: Moment,
@@ -218,33 +221,35 @@
             .state
             .agent
             .lock()
-            .handle_delegated_search(errand, packet, now);
+            .handle_delegated_search(search, packet, now);
         self.counts.add(PacketOutcome::SearchedFor);
         for (to, frame) in step.remote {
-            self.pass(to, frame, bytes);
+            self.forward(to, frame, bytes);
         }
-        self.carry_out(step.local, packet, bytes);
-        self.send_note(step.update);
+        self.execute(step.local, packet, bytes);
+        self.send_update(step.update);
     }
 
-    /// Takes another agent's word about a flow that this one looks for.
-    fn take_word(&mut self, word: &FlowUpdate) {
-        let end = self.state.agent.lock().handle_flow_update(word);
-        self.end_errands(end);
+    /// Handles another agent's update about a flow that this agent searches for.
+    fn handle_flow_update(&mut self, update: &FlowUpdate) {
+        let result = self.state.agent.lock().handle_flow_update(update);
+        self.report_searches(result);
     }
 
-    fn end_errands(&mut self, ended: impl IntoIterator<Item = (AgentAddress, SearchResult)>) {
-        for (balancer, word) in ended {
-            self.log.searched(&word);
-            self.tell(balancer, &PeerFrame::ErrandEnd(word));
+    /// Reports the results of finished searches to the balancers that delegated them.
+    fn report_searches(&mut self, results: impl IntoIterator<Item = (AgentAddress, SearchResult)>) {
+        for (balancer, result) in results {
+            self.log.searched(&result);
+            self.send_frame(balancer, &PeerFrame::ErrandEnd(result));
         }
     }
 
-    fn carry_out(&mut self, step: AgentStep, packet: &FlowPacket, bytes: &mut [u8]) {
+    fn execute(&mut self, step: AgentStep, packet: &FlowPacket, bytes: &mut [u8]) {
         match step {
             AgentStep::Deliver { tag } => {
-                let known = tag == 0;
-                self.counts.add(if known {
+                // Tag 0: the target is known to hold the flow.
+                let held_by_target = tag == 0;
+                self.counts.add(if held_by_target {
                     PacketOutcome::Delivered
                 } else {
                     PacketOutcome::Tried
@@ -254,25 +259,25 @@
             }
             AgentStep::Forward { to, frame } => {
                 self.counts.add(PacketOutcome::Passed);
-                self.log.passed(packet, to, &frame);
-                self.pass(to, frame, bytes);
+                self.log.forwarded(packet, to, &frame);
+                self.forward(to, frame, bytes);
             }
             AgentStep::Return { to } => {
                 self.counts.add(PacketOutcome::Returned);
-                let agent = self.sockets.own;
+                let agent = self.sockets.own_address;
                 let frame = PeerFrame::Unknown { agent };
-                self.push_outward(to.0, |out| write_frame(&frame, bytes, out));
+                self.push_outbound(to.0, |out| write_frame(&frame, bytes, out));
             }
             AgentStep::ToClient => {
                 self.counts.add(PacketOutcome::ToClient);
                 let to = self.client_address(packet);
-                self.push_outward(to, |out| copy_to(bytes, out));
+                self.push_outbound(to, |out| copy_to(bytes, out));
             }
             AgentStep::Reset => {
                 self.count_refused(packet, PacketOutcome::Reset);
                 let to = self.client_address(packet);
                 let reset = encode_reset(&packet.flow, packet.acknowledged);
-                self.push_outward(to, |out| copy_to(&reset, out));
+                self.push_outbound(to, |out| copy_to(&reset, out));
             }
             AgentStep::Drop(reason) => self.count_refused(packet, outcome_of(reason)),
         }
@@ -285,85 +290,86 @@
         self.log.refused(packet, outcome.as_str(), &load);
     }
 
-    fn pass(&mut self, to: AgentAddress, frame: PacketFrame, bytes: &[u8]) {
+    fn forward(&mut self, to: AgentAddress, frame: PacketFrame, bytes: &[u8]) {
         let frame = PeerFrame::Packet(frame);
-        self.push_outward(to.0, |out| write_frame(&frame, bytes, out));
+        self.push_outbound(to.0, |out| write_frame(&frame, bytes, out));
     }
 
     fn client_address(&self, packet: &FlowPacket) -> SocketAddrV4 {
         SocketAddrV4::new(*packet.flow.client.ip(), self.sockets.client_port)
     }
 
-    fn send_note(&mut self, note: Option<(AgentAddress, FlowUpdate)>) {
-        if let Some((to, note)) = note {
-            self.log.located(&note);
-            self.tell(to, &PeerFrame::Note(note));
+    fn send_update(&mut self, update: Option<(AgentAddress, FlowUpdate)>) {
+        if let Some((to, update)) = update {
+            self.log.located(&update);
+            self.send_frame(to, &PeerFrame::Note(update));
         }
     }
 
-    fn tell(&mut self, to: AgentAddress, frame: &PeerFrame) {
-        self.push_outward(to.0, |out| write_frame(frame, &[], out));
+    fn send_frame(&mut self, to: AgentAddress, frame: &PeerFrame) {
+        self.push_outbound(to.0, |out| write_frame(frame, &[], out));
     }
 
-    /// Tells the load and forgets what is old, when it is time.
-    fn keep_up(&mut self) {
+    /// Ends expired searches, reports the load and expires idle flows, each when due.
+    fn run_periodic(&mut self) {
         let now = self.state.clock.now();
-        let ended = self.state.agent.lock().expired_searches(now);
-        if !ended.is_empty() {
-            self.end_errands(ended);
+        let expired = self.state.agent.lock().expired_searches(now);
+        if !expired.is_empty() {
+            self.report_searches(expired);
             self.flush();
         }
         if now >= self.next_report {
             self.next_report = now + REPORT_INTERVAL;
-            let (listeners, report) = self.state.agent.lock().load_report(now);
+            let (subscribers, report) = self.state.agent.lock().load_report(now);
             let frame = PeerFrame::Load(report);
-            for listener in listeners {
-                self.push_outward(listener.0, |out| write_frame(&frame, &[], out));
+            for subscriber in subscribers {
+                self.push_outbound(subscriber.0, |out| write_frame(&frame, &[], out));
             }
             self.flush();
         }
-        if now >= self.next_tend {
-            self.next_tend = now + TEND_INTERVAL;
+        if now >= self.next_expiry {
+            self.next_expiry = now + EXPIRY_INTERVAL;
             self.state.agent.lock().expire_idle(self.idle, now);
         }
     }
 
     fn deliver(&mut self, bytes: &[u8]) {
         let to = self.sockets.target_address;
-        if !self.inward.push(to, |out| copy_to(bytes, out)) {
+        if !self.inbound.push(to, |out| copy_to(bytes, out)) {
             self.flush();
-            self.inward.push(to, |out| copy_to(bytes, out));
+            self.inbound.push(to, |out| copy_to(bytes, out));
         }
     }
 
-    fn push_outward(&mut self, to: SocketAddrV4, write: impl Fn(&mut Vec<u8>)) {
-        if !self.outward.push(to, &write) {
+    fn push_outbound(&mut self, to: SocketAddrV4, write: impl Fn(&mut Vec<u8>)) {
+        if !self.outbound.push(to, &write) {
             self.flush();
-            self.outward.push(to, &write);
+            self.outbound.push(to, &write);
         }
     }
 
     fn flush(&mut self) {
-        let mut refused = 0;
-        if !self.inward.is_empty() {
-            refused += self.inward.send(&self.sockets.target);
-            let answered = self.inward.take_answered();
+        let mut not_sent = 0;
+        if !self.inbound.is_empty() {
+            not_sent += self.inbound.send(&self.sockets.target);
+            let port_closed = self.inbound.take_answered();
             let now = self.state.clock.now();
             let mut agent = self.state.agent.lock();
             agent.record_sent(now);
-            if answered {
+            if port_closed {
                 agent.handle_connection_refused(now);
             }
         }
-        if !self.outward.is_empty() {
-            refused += self.outward.send(&self.sockets.frames);
+        if !self.outbound.is_empty() {
+            not_sent += self.outbound.send(&self.sockets.frames);
         }
-        self.counts.add_many(PacketOutcome::NotSent, refused as u64);
+        self.counts
+            .add_many(PacketOutcome::NotSent, not_sent as u64);
     }
 
-    fn note_carried(&self, count: usize) {
+    fn record_received(&self, count: usize) {
         self.state
-            .carried
+            .received
             .fetch_add(count as u64, Ordering::Relaxed);
     }
 }
--- a/bins/agent/src/opaque/process.rs
+++ b/bins/agent/src/opaque/process.rs
@@ -1,4 +1,4 @@
-//! Start, run and stop of an agent of opaque packets.
+//! Startup, settings watch and shutdown of an agent for opaque packets.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -18,20 +18,20 @@
 use parking_lot::Mutex;
 use tokio::signal::unix::{SignalKind, signal};
 
-use super::count::PacketMetrics;
-use super::notice::DecisionLog;
+use super::decision_log::DecisionLog;
+use super::metrics::PacketMetrics;
 use super::packets::{PacketSockets, PacketState, PacketThread};
 
-/// How long an agent goes on after it has told balancers that it stops: two reports, so that new
-/// flows go elsewhere while its successor starts.
-const STOP_SPAN: Duration = Duration::from_millis(500);
+/// How long an agent keeps running after it has announced to balancers that it stops: two load
+/// reports, so that new flows go elsewhere while its successor starts.
+const STOP_GRACE: Duration = Duration::from_millis(500);
 
-/// Runs an agent of opaque packets until it is told to stop. `file` is what `settings` were
-/// read from; it is watched.
+/// Runs an agent for opaque packets until it receives a stop signal or its settings change in a
+/// way that needs a restart. `file` is the file that `settings` were read from; it is watched.
 ///
 /// # Errors
 ///
-/// An [`CarrierError`] when it cannot start.
+/// A [`CarrierError`] when the agent cannot start.
 pub async fn run_opaque(
     settings: OpaqueAgentSettings,
     file: SettingsFile,
@@ -41,10 +41,10 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let metrics = MetricsRegistry::new()?;
-    let measured = PacketMetrics::new(&metrics.meter());
+    let packet_metrics = PacketMetrics::new(&metrics.meter());
     let common = &settings.common;
     let clock = ProcessClock::new();
-    let agent = AgentSettings {
+    let agent_settings = AgentSettings {
         own: AgentAddress(settings.advertised),
         service: settings.service.id(),
         started_with_target: settings.first_start,
@@ -55,12 +55,12 @@
         },
     };
     let state = Arc::new(PacketState {
-        agent: Mutex::new(FlowAgent::new(agent, clock.now())),
+        agent: Mutex::new(FlowAgent::new(agent_settings, clock.now())),
         clock,
-        carried: AtomicU64::new(0),
-        ended: AtomicBool::new(false),
+        received: AtomicU64::new(0),
+        stopped: AtomicBool::new(false),
     });
-    start_packets(&settings, &state, measured, &log)?;
+    start_packet_path(&settings, &state, packet_metrics, &log)?;
     register_gauges(&metrics.meter(), &state);
     serve_operations(&settings, metrics, &state, &log);
     info!(log, "agent runs"; "service" => settings.service.to_string(),
@@ -70,42 +70,44 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = follow_settings(&mut watch, &settings, &log) => {}
+        () = wait_for_restart(&mut watch, &settings, &log) => {}
     }
     info!(log, "agent stops");
     state.agent.lock().set_leaving();
-    tokio::time::sleep(STOP_SPAN.min(common.stop_timeout / 2)).await;
-    state.ended.store(true, Ordering::Relaxed);
-    info!(log, "agent stopped"; "packets" => state.carried.load(Ordering::Relaxed));
+    tokio::time::sleep(STOP_GRACE.min(common.stop_timeout / 2)).await;
+    state.stopped.store(true, Ordering::Relaxed);
+    info!(log, "agent stopped"; "packets" => state.received.load(Ordering::Relaxed));
     Ok(())
 }
 
-/// Returns when the process must start anew, because what it was started with is another.
-async fn follow_settings(watch: &mut SettingsWatch, started: &OpaqueAgentSettings, log: &Logger) {
+/// Watches the settings file. Returns once the settings differ from those the process was started
+/// with, so that it must restart.
+async fn wait_for_restart(watch: &mut SettingsWatch, started: &OpaqueAgentSettings, log: &Logger) {
     loop {
         match watch.changed().await.parse(OpaqueAgentSettings::parse) {
             Ok(settings) => {
                 info!(log, "settings read again"; "service" => settings.service.to_string());
-                // It says only how the process was started.
-                let same = OpaqueAgentSettings {
+                // No restart is needed for changed limits, which apply from the next start, or for
+                // `first_start`, which only describes how the process was started.
+                let equivalent = OpaqueAgentSettings {
                     common: started.common.clone().with_limits_from(&settings.common),
                     first_start: settings.first_start,
                     ..started.clone()
                 };
-                if settings != same {
+                if settings != equivalent {
                     return;
                 }
             }
-            // The last good ones stay in force.
+            // The last valid settings stay in force.
             Err(faults) => warn!(log, "settings refused"; "faults" => faults.to_string()),
         }
     }
 }
 
-fn start_packets(
+fn start_packet_path(
     settings: &OpaqueAgentSettings,
     state: &Arc<PacketState>,
-    measured: PacketMetrics,
+    metrics: PacketMetrics,
     log: &Logger,
 ) -> Result<(), CarrierError> {
     let common = &settings.common;
@@ -117,14 +119,14 @@
         target,
         target_address: settings.backend,
         client_port: common.packets.port(),
-        own: AgentAddress(settings.advertised),
+        own_address: AgentAddress(settings.advertised),
     };
     let state = Arc::clone(state);
     let idle = common.flow_lifetime;
     let decisions = DecisionLog::new(log.clone());
-    // The thread's buffers are made where they are used.
+    // The buffers are allocated on the thread that uses them.
     start_packet_thread(log, move || {
-        PacketThread::new(state, sockets, measured, decisions, idle).run()
+        PacketThread::new(state, sockets, metrics, decisions, idle).run()
     })?;
     Ok(())
 }
@@ -137,20 +139,20 @@
 ) {
     let ready = ReadyFlag::default();
     ready.set(true);
-    let answers = AgentAnswers {
+    let answers = AgentOperations {
         state: Arc::clone(state),
         service: settings.service.clone(),
     };
     serve_carrier(&settings.common, READY_PATH, ready, metrics, answers, log);
 }
 
-/// What the agent tells its operators.
-struct AgentAnswers {
+/// Answers operators' queries on the operations server.
+struct AgentOperations {
     state: Arc<PacketState>,
     service: ServiceName,
 }
 
-impl CarrierAnswers for AgentAnswers {
+impl CarrierAnswers for AgentOperations {
     fn status(&self) -> serde_json::Value {
         status_of(&self.state)
     }
@@ -160,31 +162,31 @@
             client,
             service_address: address,
         };
-        let held = self.state.agent.lock();
-        let held = held.explain(&flow, self.state.clock.now());
+        let agent = self.state.agent.lock();
+        let held = agent.explain(&flow, self.state.clock.now());
         serde_json::json!({ "service": self.service.as_str(), "held": held })
     }
 }
 
-/// Gauges that are read when metrics are asked for.
+/// Registers the observable gauges.
 fn register_gauges(meter: &Meter, state: &Arc<PacketState>) {
-    let held = Arc::clone(state);
+    let observed = Arc::clone(state);
     let _flows = meter
         .u64_observable_gauge("lovagelatch.agent.opaque_flows")
         .with_unit("{flow}")
         .with_description("Open flows of the target")
         .with_callback(move |observer| {
-            let status = held.agent.lock().status(held.clock.now());
+            let status = observed.agent.lock().status(observed.clock.now());
             observer.observe(status.load.flows.into(), &[]);
         })
         .build();
-    let held = Arc::clone(state);
+    let observed = Arc::clone(state);
     let _progress = meter
         .u64_observable_gauge("lovagelatch.agent.in_progress")
         .with_unit("{request}")
         .with_description("Requests that the target has not begun to answer")
         .with_callback(move |observer| {
-            let status = held.agent.lock().status(held.clock.now());
+            let status = observed.agent.lock().status(observed.clock.now());
             observer.observe(status.load.in_progress.into(), &[]);
         })
         .build();
