--- a/bins/agent/src/agent.rs
+++ b/bins/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the agent share.
+//! State shared by all tasks of the agent.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
 
 use crate::backend::BackendLink;
 use crate::clock::ProcessClock;
-use crate::drain::DrainSwitch;
-use crate::gate::GateKeeper;
+use crate::drain::DrainState;
+use crate::gate::SharedGate;
 use crate::metrics::AgentMetrics;
 use crate::once::OnceLedger;
 use crate::packet::EndpointSet;
-use crate::path::plain_path;
+use crate::path::normalize_path;
 use crate::placement::SharedPlacement;
 use crate::relay::RelayPool;
 
-/// The agent's state.
+/// The state of one agent process.
 pub(crate) struct Agent {
     pub(crate) settings: AgentSettings,
     pub(crate) service: ServiceId,
@@ -35,29 +35,29 @@
     pub(crate) fleet: FleetClient,
     pub(crate) datagrams: DatagramPath,
     pub(crate) endpoints: EndpointSet,
-    pub(crate) gate: GateKeeper,
+    pub(crate) gate: SharedGate,
     pub(crate) placement: Arc<SharedPlacement>,
     pub(crate) budgets: Mutex<AgencyBudgets>,
     pub(crate) backend: Arc<BackendLink>,
     pub(crate) relays: Arc<RelayPool>,
     pub(crate) once: OnceLedger,
-    pub(crate) drain: DrainSwitch,
+    pub(crate) drain: DrainState,
 }
 
 impl Agent {
-    /// Where this agent listens for the system's other processes.
+    /// The control address: where this agent receives frames and streams of other processes.
     pub(crate) fn address(&self) -> AgentAddress {
         self.settings.common.control
     }
 
-    /// Whether a request must run at most once.
+    /// Whether the configuration marks this route as once-only: its requests run at most once.
     pub(crate) fn is_once_only(&self, method: &Method, path: &str) -> bool {
         let view = self.fleet.view();
         let entry = view.text().service(self.settings.service.as_str());
-        entry.is_some_and(|entry| entry.is_once_only(method.as_str(), &plain_path(path)))
+        entry.is_some_and(|entry| entry.is_once_only(method.as_str(), &normalize_path(path)))
     }
 
-    /// Whether the service has routes whose requests must run at most once.
+    /// Whether the service has any once-only routes.
     pub(crate) fn has_once_routes(&self) -> bool {
         let view = self.fleet.view();
         let entry = view.text().service(self.settings.service.as_str());
--- a/bins/agent/src/assembly.rs
+++ b/bins/agent/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Putting an agent together from its settings.
+//! Builds an agent from its settings.
 
 use std::sync::Arc;
 
@@ -20,8 +20,8 @@
 use crate::agent::Agent;
 use crate::backend::BackendLink;
 use crate::clock::ProcessClock;
-use crate::drain::DrainSwitch;
-use crate::gate::GateKeeper;
+use crate::drain::DrainState;
+use crate::gate::SharedGate;
 use crate::metrics::AgentMetrics;
 use crate::once::OnceLedger;
 use crate::packet::{EndpointSet, EndpointSetup, TlsFiles, TokenIssuer, load_server_crypto};
@@ -29,11 +29,11 @@
 use crate::process::AgentError;
 use crate::relay::RelayPool;
 
-/// How long a connection ID is used, in idle timeouts. Every flow has IDs of the newest key
-/// generation so long after a switch.
-const IDLE_TIMES_PER_ID: u32 = 4;
+/// Lifetime of a connection ID, in idle timeouts. It bounds how long after a key rotation a flow
+/// may still use IDs of an older key generation.
+const ID_LIFETIME_IDLE_TIMEOUTS: u32 = 4;
 
-/// What `new_agent` is made from besides the settings.
+/// Inputs of [`new_agent`] besides the settings.
 pub(crate) struct AgentParts {
     pub(crate) keys: Arc<ArcSwap<FleetKeys>>,
     pub(crate) incarnation: Incarnation,
@@ -43,7 +43,7 @@
     pub(crate) log: Logger,
 }
 
-/// Puts an agent together.
+/// Builds an agent.
 ///
 /// # Errors
 ///
@@ -55,7 +55,7 @@
     let datagrams = DatagramPath::new(common.gateway);
     let first_serial = rand::rng().random();
     let keys = &parts.keys;
-    let id_lifetime = common.limits.flow_idle * IDLE_TIMES_PER_ID;
+    let id_lifetime = common.limits.flow_idle * ID_LIFETIME_IDLE_TIMEOUTS;
     let issuer = TokenIssuer::new(
         common.control,
         service,
@@ -82,7 +82,7 @@
         clock,
         datagrams,
         endpoints: EndpointSet::new(setup, load_server_crypto(&files)?),
-        gate: GateKeeper::new(GateSettings::new(settings.slots), clock),
+        gate: SharedGate::new(GateSettings::new(settings.slots), clock),
         budgets: Mutex::new(AgencyBudgets::new(BudgetSettings::new())),
         backend: Arc::new(BackendLink::new(settings.backend)),
         relays: Arc::new(RelayPool::new(
@@ -92,7 +92,7 @@
         )),
         placement,
         once: OnceLedger::new(ledger),
-        drain: DrainSwitch::new(),
+        drain: DrainState::new(),
         keys: parts.keys,
         log: parts.log,
         metrics: parts.metrics,
@@ -101,22 +101,22 @@
     })
 }
 
-/// Who the process is, for operators.
+/// The identity of the process on its operations server.
 pub(crate) fn new_identity(agent: &Agent, incarnation: Incarnation) -> ProcessIdentity {
     let common = &agent.settings.common;
     let zone = common.zone.as_str();
     ProcessIdentity::new("lovagelatch-agent", &common.name, zone, incarnation)
 }
 
-/// The server for operators.
+/// Builds the operations server: status, metrics, gate and placement costs.
 pub(crate) fn new_operations(
     agent: &Arc<Agent>,
     identity: &ProcessIdentity,
     metrics: MetricsRegistry,
 ) -> OperationsServer {
-    let counted = Arc::clone(agent);
-    let gated = Arc::clone(agent);
-    let weighed = Arc::clone(agent);
+    let counters_agent = Arc::clone(agent);
+    let gate_agent = Arc::clone(agent);
+    let costs_agent = Arc::clone(agent);
     let keys = Arc::clone(&agent.keys);
     OperationsServer::new(
         agent.settings.common.operations,
@@ -125,11 +125,12 @@
         metrics,
     )
     .with_operators(agent.settings.common.operators)
-    .with_counters(move || counted.counters())
-    .with_gate(move || Some(gated.gate.report()))
+    .with_counters(move || counters_agent.counters())
+    .with_gate(move || Some(gate_agent.gate.report()))
     .with_router(move || FlowRouter::with_keys(&keys.load()))
     .with_costs(move || {
-        let peers = weighed.fleet.peer_reports();
-        weighed.placement.costs(&weighed.gate.report(), &peers)
+        let peers = costs_agent.fleet.peer_reports();
+        let local = costs_agent.gate.report();
+        costs_agent.placement.costs(&local, &peers)
     })
 }
--- a/bins/agent/src/backend/body.rs
+++ b/bins/agent/src/backend/body.rs
@@ -10,7 +10,7 @@
 
 use crate::backend::connection::BackendConnection;
 use crate::backend::link::BackendLink;
-use crate::exchange::{BodyCut, PIECE_TIMEOUT};
+use crate::exchange::{BODY_CHUNK_TIMEOUT, TruncatedBody};
 use crate::gate::{SlotGuard, SlotOutcome};
 
 /// How the length of a body is known.
@@ -34,7 +34,7 @@
         if headers.contains_key(header::TRANSFER_ENCODING) {
             return Self::Chunked;
         }
-        let length = crate::headers::number_of(headers, &header::CONTENT_LENGTH);
+        let length = crate::headers::parse_number(headers, &header::CONTENT_LENGTH);
         length.map_or(Self::Unmarked, Self::Length)
     }
 }
@@ -86,7 +86,7 @@
         self.slot = slot;
     }
 
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BodyCut> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         if self.ended {
             return Ok(None);
         }
@@ -97,7 +97,7 @@
         piece
     }
 
-    async fn next_piece(&mut self) -> Result<Option<Bytes>, BodyCut> {
+    async fn next_piece(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         loop {
             let Some(frame) = self.next_frame().await? else {
                 return self.finish();
@@ -120,24 +120,24 @@
         }
     }
 
-    async fn next_frame(&mut self) -> Result<Option<hyper::body::Frame<Bytes>>, BodyCut> {
+    async fn next_frame(&mut self) -> Result<Option<hyper::body::Frame<Bytes>>, TruncatedBody> {
         let frame = if self.quiet_allowed {
             self.incoming.frame().await
         } else {
-            let waiting = tokio::time::timeout(PIECE_TIMEOUT, self.incoming.frame());
-            waiting.await.map_err(|_| BodyCut)?
+            let waiting = tokio::time::timeout(BODY_CHUNK_TIMEOUT, self.incoming.frame());
+            waiting.await.map_err(|_| TruncatedBody)?
         };
-        frame.transpose().map_err(|_| BodyCut)
+        frame.transpose().map_err(|_| TruncatedBody)
     }
 
-    fn finish(&mut self) -> Result<Option<Bytes>, BodyCut> {
+    fn finish(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         let whole = match self.framing {
             BodyFraming::Length(length) => self.received == length,
             BodyFraming::Chunked => true,
             BodyFraming::Unmarked => false,
         };
         if !whole {
-            return Err(BodyCut);
+            return Err(TruncatedBody);
         }
         self.ended = true;
         if let Some(connection) = self.connection.take() {
--- a/bins/agent/src/backend/link.rs
+++ b/bins/agent/src/backend/link.rs
@@ -15,7 +15,7 @@
 use crate::backend::connection::BackendConnection;
 use crate::backend::control::CancelEnd;
 use crate::backend::read_ahead::AheadRoom;
-use crate::exchange::{Answer, AnswerBody, CallerRequest, Refusal};
+use crate::exchange::{AttemptResponse, CallerRequest, Refusal, ResponseBody};
 use crate::gate::{SlotGuard, SlotOutcome};
 use crate::headers;
 
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub(crate) enum ExchangeEnd {
     /// An answer to this very attempt has started.
-    Answered(Answer),
+    Answered(AttemptResponse),
     /// Nothing of the request was written.
     NotHandedOver,
     /// The backend server refused it before its start.
@@ -193,7 +193,7 @@
         if head.status == StatusCode::SERVICE_UNAVAILABLE && not_run {
             let retry_after = retry_after_of(&head.headers);
             let refusal = Refusal::new(RefusalReason::Shed, retry_after)
-                .with_returned(headers::returned_by(&head.headers));
+                .with_returned(headers::returned_allowance(&head.headers));
             return ExchangeEnd::Shed(refusal);
         }
         let head_only = request.method == Method::HEAD;
@@ -204,17 +204,17 @@
             Arc::clone(self),
             connection,
         );
-        ExchangeEnd::Answered(Answer {
+        ExchangeEnd::Answered(AttemptResponse {
             status: head.status,
             headers: headers::end_to_end(&head.headers),
-            body: AnswerBody::Backend(Box::new(body)),
+            body: ResponseBody::Backend(Box::new(body)),
         })
     }
 }
 
 fn retry_after_of(fields: &http::HeaderMap) -> Duration {
-    let millis = headers::number_of(fields, &headers::RETRY_AFTER_MS).map(Duration::from_millis);
-    let seconds = || headers::number_of(fields, &header::RETRY_AFTER).map(Duration::from_secs);
+    let millis = headers::parse_number(fields, &headers::RETRY_AFTER_MS).map(Duration::from_millis);
+    let seconds = || headers::parse_number(fields, &header::RETRY_AFTER).map(Duration::from_secs);
     millis.or_else(seconds).unwrap_or(DEFAULT_RETRY)
 }
 
--- a/bins/agent/src/backend/read_ahead.rs
+++ b/bins/agent/src/backend/read_ahead.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 use crate::backend::body::BackendBody;
-use crate::exchange::BodyCut;
+use crate::exchange::TruncatedBody;
 
 /// Bytes of one answer that may wait for their caller.
 const AHEAD_BYTES: u32 = 256 * 1024;
@@ -74,7 +74,7 @@
         }
     }
 
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BodyCut> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         if self.ended {
             return Ok(None);
         }
@@ -85,7 +85,7 @@
                 Ok(None)
             }
             // The task ended without saying that the body is whole.
-            None => Err(BodyCut),
+            None => Err(TruncatedBody),
         }
     }
 }
--- a/bins/agent/src/clock.rs
+++ b/bins/agent/src/clock.rs
@@ -1,11 +1,12 @@
-//! The one place where the agent reads clocks for its decisions.
+//! Clocks. The agent reads the time for its decisions only here.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lovagelatch_domain::Moment;
 use tokio::time::Instant;
 
-/// The process's clocks.
+/// Converts between Tokio's clock and the [`Moment`]s that the decision libraries use, which
+/// count from the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessClock {
     start: Instant,
@@ -18,7 +19,7 @@
         }
     }
 
-    /// Now, on the monotonic clock that the decision libraries use.
+    /// The current time on the monotonic clock.
     pub(crate) fn now(&self) -> Moment {
         self.moment(Instant::now())
     }
@@ -33,7 +34,7 @@
     }
 }
 
-/// Whole seconds since the Unix epoch, for the age of tickets.
+/// Whole seconds since the Unix epoch; used for the age of tickets.
 pub(crate) fn unix_seconds() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |time| time.as_secs())
--- a/bins/agent/src/command.rs
+++ b/bins/agent/src/command.rs
@@ -1,10 +1,10 @@
-//! The command line.
+//! Command-line options.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 
-/// Ends callers' flows and gates the backend server beside it.
+/// Terminates callers' flows and gates the backend server beside it.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub struct CommandLine {
--- a/bins/agent/src/dispatch.rs
+++ b/bins/agent/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Running a request: at the own gate or at a peer's, and once more elsewhere when a gate has
-//! proved that it did not run.
+//! Runs a request at the local gate or at a peer's, and retries it at another gate after a proof
+//! that it did not run.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 use lovagelatch_domain::{AgentAddress, AttemptId, GateCondition, RefusalReason};
 use lovagelatch_placement::{
-    AttemptAllowance, ExchangeOutcome as PeerEnd, GateRequest, PlacementChoice,
+    AttemptAllowance, ExchangeOutcome as PeerOutcome, GateRequest, PlacementChoice,
 };
 use lovagelatch_telemetry::{DecisionKind, info};
 use smallvec::SmallVec;
@@ -15,60 +15,63 @@
 
 use crate::agent::Agent;
 use crate::backend::{CancelEnd, ExchangeEnd};
-use crate::exchange::{AttemptEnd, CallerRequest, Refusal};
+use crate::exchange::{AttemptOutcome, CallerRequest, Refusal};
 use crate::gate::{Admission, SlotGuard, SlotOutcome};
-use crate::handed::{HandedOver, SentNote};
-use crate::metrics::reason_word;
+use crate::in_flight::{BackendAttempt, PeerAttempt};
+use crate::metrics::reason_label;
 use crate::relay::{RelayEnd, RelayTerms, unreached};
 
-/// Gates that one request is offered to at most, as an expectation for its list of them.
-const MAX_GATES: usize = 4;
+/// Inline capacity of the list of gates that a request has tried.
+const INLINE_GATES: usize = 4;
 
-/// How long the end of a dead backend server's connection may take to be noticed. It is on this
-/// instance, so its death is known as soon as the runtime has turned once.
-const CLOSE_NOTICE: Duration = Duration::from_millis(5);
+/// How long to wait for the closed connection of a dead backend server to show. The server runs
+/// on this instance, so one turn of the runtime is enough to see it.
+const CLOSE_DETECTION_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// When to come back to a backend server that cannot be reached.
-const UNREACHED_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after when the backend server is unreachable or has cancelled a late request.
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Agent {
-    /// Runs the request at the gate of least expected wait; tries another one only after a
-    /// proof that it did not run, while the retry budget and the deadline last.
+    /// Runs the request at the gate with the least expected wait. Tries another gate only after a
+    /// proof that the request did not run, and only within the retry budget and the deadline.
     pub(crate) async fn dispatch(
         self: &Arc<Self>,
         request: &CallerRequest,
         attempt: AttemptId,
-    ) -> AttemptEnd {
-        self.note_request(request);
+    ) -> AttemptOutcome {
+        self.record_request(request);
         let mut request = request.clone();
-        let mut tried: SmallVec<[AgentAddress; MAX_GATES]> = SmallVec::new();
+        let mut tried: SmallVec<[AgentAddress; INLINE_GATES]> = SmallVec::new();
         loop {
             let (gate, end) = match self.choose(&request, &tried) {
-                PlacementChoice::Own => (self.address(), self.run_own(&request, attempt).await),
+                PlacementChoice::Own => (
+                    self.address(),
+                    self.run_at_local_gate(&request, attempt).await,
+                ),
                 PlacementChoice::Peer(peer) => {
                     (peer, self.run_at_peer(peer, &request, attempt).await)
                 }
                 PlacementChoice::Refuse {
                     reason,
                     retry_after,
-                } => return AttemptEnd::NotRun(Refusal::new(reason, retry_after)),
+                } => return AttemptOutcome::NotRun(Refusal::new(reason, retry_after)),
             };
-            let AttemptEnd::NotRun(refusal) = end else {
+            let AttemptOutcome::NotRun(refusal) = end else {
                 return end;
             };
             tried.push(gate);
             info!(self.log, "gate refused"; "decision" => DecisionKind::RequestRefused,
                 "attempt" => attempt.to_string(), "gate" => gate.to_string(),
-                "reason" => reason_word(refusal.reason));
+                "reason" => reason_label(refusal.reason));
             match self.retry_allowance(&request, refusal) {
                 Some(allowance) => request.allowance = allowance,
-                None => return AttemptEnd::NotRun(refusal),
+                None => return AttemptOutcome::NotRun(refusal),
             }
         }
     }
 
-    /// The allowance of one more attempt, if it may be made: time is left, neither the request
-    /// nor what refused it has used up its attempts, and the agency's budget pays for it.
+    /// The allowance for one more attempt. `None` when no time is left, when the request or the
+    /// refusing dependency has used up its attempts, or when the agency's retry budget is spent.
     pub(crate) fn retry_allowance(
         &self,
         request: &CallerRequest,
@@ -87,31 +90,31 @@
         paid.then_some(left)
     }
 
-    /// Counts a request's first attempt, by which its agency saves for further ones.
-    pub(crate) fn note_request(&self, request: &CallerRequest) {
+    /// Counts the first attempt of a request, which adds to its agency's retry budget.
+    pub(crate) fn record_request(&self, request: &CallerRequest) {
         let agency = request.agency.as_ref();
         self.budgets.lock().record_request(agency, self.clock.now());
     }
 
     fn choose(&self, request: &CallerRequest, tried: &[AgentAddress]) -> PlacementChoice {
-        let own = self.gate.report();
+        let local = self.gate.report();
         let peers = self.fleet.peer_reports();
         let untried = !tried.contains(&self.address());
-        // A feed holds no slot, so the gate's load says nothing about it.
-        let feed_here = request.is_feed() && own.condition == GateCondition::Open;
+        // A feed occupies no slot, so the gate's load is irrelevant to it.
+        let feed_here = request.is_feed() && local.condition == GateCondition::Open;
         if untried && (feed_here || peers.is_empty()) {
             return PlacementChoice::Own;
         }
         self.placement
-            .choose(&own, &peers, tried, request.time_left())
+            .choose(&local, &peers, tried, request.time_left())
     }
 
-    /// Runs the request through the own gate.
-    pub(crate) async fn run_own(
+    /// Runs the request through the gate of the local backend server.
+    pub(crate) async fn run_at_local_gate(
         self: &Arc<Self>,
         request: &CallerRequest,
         attempt: AttemptId,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         if request.is_feed() {
             return self.run_backend(request, attempt, None).await;
         }
@@ -123,8 +126,8 @@
         };
         match self.gate.admit(gate_request).await {
             Admission::Slot(slot) => self.run_backend(request, attempt, Some(slot)).await,
-            Admission::Refused(refusal) => AttemptEnd::NotRun(refusal),
-            Admission::Duplicate => AttemptEnd::Unknown,
+            Admission::Refused(refusal) => AttemptOutcome::NotRun(refusal),
+            Admission::Duplicate => AttemptOutcome::Unknown,
         }
     }
 
@@ -133,77 +136,83 @@
         request: &CallerRequest,
         attempt: AttemptId,
         slot: Option<SlotGuard>,
-    ) -> AttemptEnd {
-        let handed = HandedOver {
+    ) -> AttemptOutcome {
+        let in_flight = BackendAttempt {
             link: Arc::clone(&self.backend),
             attempt,
             slot,
             open: true,
         };
-        let kept = request.cancel_reserve();
-        let limit = request.deadline - kept;
+        let reserve = request.cancel_reserve();
+        let limit = request.deadline - reserve;
         let exchange = self.backend.exchange(request, attempt);
         tokio::pin!(exchange);
         match tokio::time::timeout_at(limit, &mut exchange).await {
-            Ok(end) => self.settle(handed, end),
-            Err(_) => self.cancel_in_flight(handed, exchange, kept).await,
+            Ok(end) => self.conclude(in_flight, end),
+            Err(_) => self.cancel_in_flight(in_flight, exchange, reserve).await,
         }
     }
 
-    fn settle(&self, mut handed: HandedOver, end: ExchangeEnd) -> AttemptEnd {
+    /// Closes the attempt according to how its exchange with the backend server ended.
+    fn conclude(&self, mut in_flight: BackendAttempt, end: ExchangeEnd) -> AttemptOutcome {
         match end {
-            ExchangeEnd::Answered(answer) => AttemptEnd::Answered(handed.into_answer(answer)),
+            ExchangeEnd::Answered(answer) => {
+                AttemptOutcome::Answered(in_flight.into_response(answer))
+            }
             ExchangeEnd::NotHandedOver => {
-                handed.close(SlotOutcome::Lost);
-                let refusal = Refusal::new(RefusalReason::NoTarget, UNREACHED_RETRY);
-                AttemptEnd::NotRun(refusal)
+                in_flight.close(SlotOutcome::Lost);
+                let refusal = Refusal::new(RefusalReason::NoTarget, UNREACHABLE_RETRY_AFTER);
+                AttemptOutcome::NotRun(refusal)
             }
             ExchangeEnd::Shed(refusal) => {
-                handed.close(SlotOutcome::Shed);
-                AttemptEnd::NotRun(refusal)
+                in_flight.close(SlotOutcome::Shed);
+                AttemptOutcome::NotRun(refusal)
             }
             ExchangeEnd::Lost(reason) => {
                 self.metrics.answers.count("discarded");
-                info!(self.log, "answer lost"; "attempt" => handed.attempt.to_string(),
+                info!(self.log, "answer lost"; "attempt" => in_flight.attempt.to_string(),
                     "reason" => format!("{reason:?}"));
-                handed.abandon(SlotOutcome::Lost);
-                AttemptEnd::Unknown
+                in_flight.abandon(SlotOutcome::Lost);
+                AttemptOutcome::Unknown
             }
         }
     }
 
-    /// Asks the backend server to cancel a request whose deadline has come; only its
-    /// confirmation makes the attempt not run.
+    /// Asks the backend server to cancel a request whose deadline has passed. The attempt counts
+    /// as not run only if the server confirms the cancellation.
     ///
-    /// A confirmation counts only while the connection that carried the request is whole. A
-    /// server that started the request and died may have a successor at its address, which
-    /// never heard of the attempt and confirms that it did not start. The death closes the
-    /// connection, and the exchange then ends by itself.
+    /// A confirmation is valid only while the connection that carried the request is open. If the
+    /// server started the request and crashed, a restarted server at the same address does not
+    /// know the attempt and confirms that it did not start. The crash also closes the connection,
+    /// which ends the exchange.
     async fn cancel_in_flight(
         &self,
-        mut handed: HandedOver,
+        mut in_flight: BackendAttempt,
         mut exchange: Pin<&mut impl Future<Output = ExchangeEnd>>,
         limit: Duration,
-    ) -> AttemptEnd {
-        let cancelling = tokio::time::timeout(limit, self.backend.cancel(handed.attempt));
+    ) -> AttemptOutcome {
+        let cancelling = tokio::time::timeout(limit, self.backend.cancel(in_flight.attempt));
         let cancelled = tokio::select! {
             biased;
-            end = &mut exchange => return self.settle(handed, end),
+            end = &mut exchange => return self.conclude(in_flight, end),
             cancelled = cancelling => cancelled.unwrap_or(CancelEnd::NoAnswer),
         };
         if cancelled == CancelEnd::Cancelled
-            && let Ok(end) = tokio::time::timeout(CLOSE_NOTICE, &mut exchange).await
+            && let Ok(end) = tokio::time::timeout(CLOSE_DETECTION_TIMEOUT, &mut exchange).await
         {
-            return self.settle(handed, end);
+            return self.conclude(in_flight, end);
         }
-        handed.close(match cancelled {
+        in_flight.close(match cancelled {
             CancelEnd::Cancelled | CancelEnd::Refused => SlotOutcome::Abandoned,
             CancelEnd::NoAnswer => SlotOutcome::Lost,
         });
         if cancelled == CancelEnd::Cancelled {
-            AttemptEnd::NotRun(Refusal::new(RefusalReason::TooLate, UNREACHED_RETRY))
+            AttemptOutcome::NotRun(Refusal::new(
+                RefusalReason::TooLate,
+                UNREACHABLE_RETRY_AFTER,
+            ))
         } else {
-            AttemptEnd::Unknown
+            AttemptOutcome::Unknown
         }
     }
 
@@ -213,11 +222,11 @@
         peer: AgentAddress,
         request: &CallerRequest,
         attempt: AttemptId,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         info!(self.log, "request relayed"; "decision" => DecisionKind::RequestRelayed,
             "attempt" => attempt.to_string(), "peer" => peer.to_string());
         let sent = Instant::now();
-        let _noted = SentNote::new(self, peer);
+        let _in_flight = PeerAttempt::new(self, peer);
         let terms = self.relay_terms(attempt, None);
         let end = self.relays.relay(peer, request, terms).await;
         self.metrics.relays.count(end.word());
@@ -226,22 +235,22 @@
         let end = match end {
             RelayEnd::Ended(end) => end,
             RelayEnd::NotHandedOver => {
-                self.observe(peer, PeerEnd::Lost);
-                return AttemptEnd::NotRun(unreached());
+                self.record_peer_outcome(peer, PeerOutcome::Lost);
+                return AttemptOutcome::NotRun(unreached());
             }
         };
-        let seen = match &end {
-            AttemptEnd::Answered(_) => PeerEnd::Answered {
+        let outcome = match &end {
+            AttemptOutcome::Answered(_) => PeerOutcome::Answered {
                 response_time: sent.elapsed(),
                 report: None,
             },
-            AttemptEnd::NotRun(refusal) => PeerEnd::Refused {
+            AttemptOutcome::NotRun(refusal) => PeerOutcome::Refused {
                 reason: refusal.reason,
                 retry_after: refusal.retry_after,
             },
-            AttemptEnd::Unknown => PeerEnd::Lost,
+            AttemptOutcome::Unknown => PeerOutcome::Lost,
         };
-        self.observe(peer, seen);
+        self.record_peer_outcome(peer, outcome);
         end
     }
 
@@ -255,7 +264,7 @@
         }
     }
 
-    fn observe(&self, peer: AgentAddress, end: PeerEnd) {
-        self.placement.observed(peer, end);
+    fn record_peer_outcome(&self, peer: AgentAddress, outcome: PeerOutcome) {
+        self.placement.record_outcome(peer, outcome);
     }
 }
--- a/bins/agent/src/drain.rs
+++ b/bins/agent/src/drain.rs
@@ -1,4 +1,4 @@
-//! Whether the agent serves yet or leaves, and what is still under way.
+//! Whether the agent serves or drains, and how much work is in progress.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,12 +8,12 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Why no new work is taken.
+/// The reasons for which the agent accepts no new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LeavingCauses {
-    /// The process was told to stop. Never taken back.
+    /// The process received a stop signal. Never reset.
     pub(crate) stopping: bool,
-    /// The backend server says that it drains.
+    /// The backend server reports that it is draining.
     pub(crate) backend: bool,
     /// The platform lists the instance as leaving.
     pub(crate) listed: bool,
@@ -25,73 +25,73 @@
     }
 }
 
-/// The switch between serving and leaving, with a count of what is under way.
+/// The state between serving and leaving, with a count of the work in progress.
 #[derive(Clone, Debug)]
-pub(crate) struct DrainSwitch {
-    /// Set once callers' packets may be taken.
-    open: Arc<AtomicBool>,
+pub(crate) struct DrainState {
+    /// Set once callers' packets are accepted.
+    accepting: Arc<AtomicBool>,
     causes: Arc<Mutex<LeavingCauses>>,
     leaving: watch::Sender<bool>,
-    /// Set when open feeds shall end at their next event.
-    ending: watch::Sender<bool>,
+    /// Set when open feeds must close after their current event.
+    closing_feeds: watch::Sender<bool>,
     active: watch::Sender<usize>,
 }
 
-/// Counts one piece of work for as long as it lives.
+/// Counts one piece of work as in progress until it is dropped.
 #[derive(Debug)]
-pub(crate) struct ActiveWork {
+pub(crate) struct WorkGuard {
     active: watch::Sender<usize>,
 }
 
-impl Drop for ActiveWork {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.active.send_modify(|count| *count -= 1);
     }
 }
 
-impl DrainSwitch {
+impl DrainState {
     pub(crate) fn new() -> Self {
         Self {
-            open: Arc::default(),
+            accepting: Arc::default(),
             causes: Arc::default(),
             leaving: watch::Sender::new(false),
-            ending: watch::Sender::new(false),
+            closing_feeds: watch::Sender::new(false),
             active: watch::Sender::new(0),
         }
     }
 
-    /// Notes that a piece of work starts.
-    pub(crate) fn enter(&self) -> ActiveWork {
+    /// Counts a piece of work until the returned guard is dropped.
+    pub(crate) fn start_work(&self) -> WorkGuard {
         self.active.send_modify(|count| *count += 1);
-        ActiveWork {
+        WorkGuard {
             active: self.active.clone(),
         }
     }
 
-    /// From now on callers' packets are taken.
-    pub(crate) fn open(&self) {
-        self.open.store(true, Ordering::Relaxed);
+    /// Starts accepting callers' packets.
+    pub(crate) fn accept_packets(&self) {
+        self.accepting.store(true, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_open(&self) -> bool {
-        self.open.load(Ordering::Relaxed)
+    pub(crate) fn accepts_packets(&self) -> bool {
+        self.accepting.load(Ordering::Relaxed)
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
         *self.leaving.borrow()
     }
 
-    /// Follows whether the agent leaves.
+    /// Watches whether the agent is leaving.
     pub(crate) fn watch_leaving(&self) -> watch::Receiver<bool> {
         self.leaving.subscribe()
     }
 
-    /// Follows whether feeds shall end.
-    pub(crate) fn watch_ending(&self) -> watch::Receiver<bool> {
-        self.ending.subscribe()
+    /// Watches whether open feeds must close.
+    pub(crate) fn watch_feed_close(&self) -> watch::Receiver<bool> {
+        self.closing_feeds.subscribe()
     }
 
-    /// Changes a cause; returns the new state when it became or ceased to be leaving.
+    /// Changes the causes. Returns whether the agent is leaving if that changed.
     pub(crate) fn change(&self, change: impl FnOnce(&mut LeavingCauses)) -> Option<bool> {
         let mut causes = self.causes.lock();
         let before = causes.any();
@@ -104,33 +104,33 @@
         Some(after)
     }
 
-    /// Asks feeds to end at their next event.
-    pub(crate) fn end_feeds(&self) {
-        self.ending.send_replace(true);
+    /// Asks open feeds to close after their current event.
+    pub(crate) fn close_feeds(&self) {
+        self.closing_feeds.send_replace(true);
     }
 
     pub(crate) fn active(&self) -> usize {
         *self.active.borrow()
     }
 
-    /// Waits until nothing is under way, at most until `limit`; `true` when nothing is.
-    pub(crate) async fn wait_quiet(&self, limit: Instant) -> bool {
+    /// Waits until no work is in progress, at most until `limit`. Returns `true` if none is.
+    pub(crate) async fn wait_idle(&self, limit: Instant) -> bool {
         let mut active = self.active.subscribe();
-        let quiet = active.wait_for(|count| *count == 0);
-        tokio::time::timeout_at(limit, quiet).await.is_ok()
+        let idle = active.wait_for(|count| *count == 0);
+        tokio::time::timeout_at(limit, idle).await.is_ok()
     }
 }
 
-/// How long a stopping agent stays at least, so that peers and balancers hear of it and callers
-/// have its GOAWAY before their flows end.
-pub(crate) const LEAST_STAY: Duration = Duration::from_secs(2);
+/// Minimum time that a stopping agent keeps running, so that peers and balancers learn that it is
+/// leaving and callers receive its GOAWAY before their flows are closed.
+pub(crate) const MIN_DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// How long before the end of a drain open feeds are asked to end.
-pub(crate) const FEED_END_WAIT: Duration = Duration::from_secs(2);
+/// How long before the end of the drain open feeds are asked to close.
+pub(crate) const FEED_CLOSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Waits until a switch is on; for ever when it is gone.
-pub(crate) async fn wait_true(switch: &mut watch::Receiver<bool>) {
-    if switch.wait_for(|on| *on).await.is_err() {
+/// Waits until the watched flag is set; never returns when its sender is gone.
+pub(crate) async fn wait_true(flag: &mut watch::Receiver<bool>) {
+    if flag.wait_for(|on| *on).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/bins/agent/src/exchange.rs
+++ b/bins/agent/src/exchange.rs
@@ -1,4 +1,4 @@
-//! A request and how an attempt to run it ends, whichever gate it goes through.
+//! Requests, responses and the outcomes of attempts, independent of the gate used.
 
 use std::time::Duration;
 
@@ -13,49 +13,50 @@
 use crate::backend::{AheadBody, BackendBody, CANCEL_WAIT};
 use crate::relay::RelayBody;
 
-/// Longest silence within an answer that is no feed. Its sender is stuck or cut off then.
-pub(crate) const PIECE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum gap between two chunks of a response that is not a feed. After that its sender counts
+/// as stuck or disconnected.
+pub(crate) const BODY_CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The part of a request's time that is kept for a cancellation, as a divisor.
-const CANCEL_PART: u32 = 4;
+/// The share of a request's time that is reserved for its cancellation, as a divisor.
+const CANCEL_RESERVE_DIVISOR: u32 = 4;
 
-/// A caller's request. Its body is whole and bounded, so that it can be offered to a second
-/// gate after a first one refused it.
+/// A caller's request. Its body is bounded and fully buffered, so that it can be sent to another
+/// gate after a refusal.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) method: Method,
-    /// The path with its query.
+    /// The path including the query.
     pub(crate) path: String,
-    /// Invariant: holds no hop-by-hop field and none of the agent's own.
+    /// Invariant: contains no hop-by-hop and no reserved header fields.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The agency whose share it counts against.
+    /// The agency to whose share the request is charged.
     pub(crate) agency: Option<AgencyName>,
-    /// How many more attempts it and all it causes may make.
+    /// How many more attempts the request, including its dependency calls, may make.
     pub(crate) allowance: AttemptAllowance,
     pub(crate) arrived: Instant,
-    /// When its caller stops waiting for the start of an answer.
+    /// When the caller stops waiting for the start of a response.
     pub(crate) deadline: Instant,
 }
 
 impl CallerRequest {
-    /// Time until the deadline, zero when it has passed.
+    /// Time until the deadline; zero once it has passed.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The part of its time that is kept for a cancellation and its answer.
+    /// Time reserved before the deadline for a cancellation and its acknowledgement.
     pub(crate) fn cancel_reserve(&self) -> Duration {
-        let whole = self.deadline.saturating_duration_since(self.arrived);
-        CANCEL_WAIT.min(whole / CANCEL_PART)
+        let total = self.deadline.saturating_duration_since(self.arrived);
+        CANCEL_WAIT.min(total / CANCEL_RESERVE_DIVISOR)
     }
 
-    /// Whether an answer can no longer come in time.
+    /// Whether it is too late for a response: only the cancellation reserve is left.
     pub(crate) fn is_late(&self) -> bool {
         self.time_left() <= self.cancel_reserve()
     }
 
-    /// Whether it asks for an event stream, which holds a connection but no slot.
+    /// Whether the caller accepts an event stream. A feed holds a connection but no slot.
     pub(crate) fn is_feed(&self) -> bool {
         let accept = self.headers.get(http::header::ACCEPT);
         let accept = accept.and_then(|value| value.to_str().ok()).unwrap_or("");
@@ -63,72 +64,72 @@
     }
 }
 
-/// Draws the number of an attempt.
+/// Returns a random attempt ID.
 pub(crate) fn new_attempt() -> AttemptId {
     AttemptId(rand::rng().random())
 }
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct AttemptResponse {
     pub(crate) status: StatusCode,
-    /// Invariant: holds no hop-by-hop field and none of the agent's own.
+    /// Invariant: contains no hop-by-hop and no reserved header fields.
     pub(crate) headers: HeaderMap,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
 }
 
-/// Where the rest of an answer comes from.
+/// The source of a response body.
 #[derive(Debug)]
-pub(crate) enum AnswerBody {
-    /// It is here.
-    Whole(Option<Bytes>),
-    /// From the own backend server, as its caller reads.
+pub(crate) enum ResponseBody {
+    /// Fully in memory.
+    Buffered(Option<Bytes>),
+    /// Streamed from the local backend server at the caller's pace.
     Backend(Box<BackendBody>),
-    /// From the own backend server, read ahead of its caller.
-    Ahead(AheadBody),
-    /// From a peer's gate.
+    /// Read ahead from the local backend server, faster than the caller reads.
+    ReadAhead(AheadBody),
+    /// Relayed from a peer's gate.
     Relay(Box<RelayBody>),
 }
 
-/// The answer ended before it was whole.
+/// The response ended before its body was complete.
 ///
-/// Passed on as a clean end, a caller would take half a certificate for a whole one; so the
-/// stream to the caller is reset instead.
+/// Ending the caller's stream cleanly would make half a certificate look complete, so the stream
+/// is reset instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the answer ended before it was whole")]
-pub(crate) struct BodyCut;
+#[error("response body truncated")]
+pub(crate) struct TruncatedBody;
 
-impl AnswerBody {
-    /// The next piece; `None` once the answer is whole.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BodyCut> {
+impl ResponseBody {
+    /// The next chunk; `None` once the body is complete.
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         match self {
-            Self::Whole(bytes) => Ok(bytes.take().filter(|bytes| !bytes.is_empty())),
+            Self::Buffered(bytes) => Ok(bytes.take().filter(|bytes| !bytes.is_empty())),
             Self::Backend(body) => body.next().await,
-            Self::Ahead(body) => body.next().await,
+            Self::ReadAhead(body) => body.next().await,
             Self::Relay(body) => body.next().await,
         }
     }
 
-    /// All of it, if it is at most `limit` bytes long.
-    pub(crate) async fn collect(&mut self, limit: usize) -> Result<Vec<u8>, BodyCut> {
+    /// Reads the whole body. Fails when it is truncated or longer than `limit` bytes.
+    pub(crate) async fn collect(&mut self, limit: usize) -> Result<Vec<u8>, TruncatedBody> {
         let mut whole = Vec::new();
-        while let Some(piece) = self.next().await? {
-            if whole.len() + piece.len() > limit {
-                return Err(BodyCut);
+        while let Some(chunk) = self.next().await? {
+            if whole.len() + chunk.len() > limit {
+                return Err(TruncatedBody);
             }
-            whole.extend_from_slice(&piece);
+            whole.extend_from_slice(&chunk);
         }
         Ok(whole)
     }
 }
 
-/// Why and until when a request was refused.
+/// A proof that a request did not run, with the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) reason: RefusalReason,
-    /// When to come back.
+    /// How long the caller should wait before a retry.
     pub(crate) retry_after: Duration,
-    /// The attempts that a dependency left, if it was one that refused.
+    /// The remaining attempts that a dependency returned with its refusal.
     pub(crate) returned: Option<AttemptAllowance>,
 }
 
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Sets the attempts that came back from further down.
+    /// Sets the remaining attempts that a dependency returned.
     #[must_use]
     pub(crate) fn with_returned(mut self, returned: Option<AttemptAllowance>) -> Self {
         self.returned = returned;
@@ -149,13 +150,13 @@
     }
 }
 
-/// How one attempt ended, or that its answer has started.
+/// The outcome of one attempt; a response may still be streaming.
 #[derive(Debug)]
-pub(crate) enum AttemptEnd {
-    /// An answer has started.
-    Answered(Answer),
-    /// It did not run and will not.
+pub(crate) enum AttemptOutcome {
+    /// The response has started.
+    Answered(AttemptResponse),
+    /// The request did not run and will not.
     NotRun(Refusal),
-    /// It may have run. Never sent again.
+    /// The request may have run. Never retried.
     Unknown,
 }
--- a/bins/agent/src/feed.rs
+++ b/bins/agent/src/feed.rs
@@ -1,43 +1,43 @@
-//! Event streams: where one may be ended without cutting an event.
+//! Event boundaries in `text/event-stream` bodies.
 
-/// Follows a `text/event-stream` body to know whether the last event in it is whole.
+/// Scans a `text/event-stream` body to detect whether its last event is complete.
 ///
-/// Ended inside an event, a feed would show its reader half of it, or lose it: the reader asks
-/// for what follows the last event number that it saw.
+/// A feed that ends inside an event would show its reader a partial event or lose it: on reconnect
+/// the reader asks for what follows the last event ID it saw.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EventBoundary {
-    between: bool,
+    at_boundary: bool,
     line_empty: bool,
 }
 
 impl EventBoundary {
-    /// Before the first event.
+    /// Starts before the first event.
     pub(crate) fn new() -> Self {
         Self {
-            between: true,
+            at_boundary: true,
             line_empty: true,
         }
     }
 
-    /// Notes the next piece of the body.
-    pub(crate) fn note(&mut self, piece: &[u8]) {
-        for &byte in piece {
+    /// Scans the next chunk of the body.
+    pub(crate) fn scan(&mut self, chunk: &[u8]) {
+        for &byte in chunk {
             match byte {
                 b'\n' => {
-                    self.between = self.line_empty;
+                    self.at_boundary = self.line_empty;
                     self.line_empty = true;
                 }
                 b'\r' => {}
                 _ => {
-                    self.between = false;
+                    self.at_boundary = false;
                     self.line_empty = false;
                 }
             }
         }
     }
 
-    /// Whether the body may end here.
-    pub(crate) fn is_between(self) -> bool {
-        self.between
+    /// Whether the body may end here without cutting an event.
+    pub(crate) fn is_at_boundary(self) -> bool {
+        self.at_boundary
     }
 }
--- a/bins/agent/src/flow.rs
+++ b/bins/agent/src/flow.rs
@@ -1,4 +1,4 @@
-//! Flows: QUIC connections of callers, each carrying HTTP/3 requests.
+//! Flows: callers' QUIC connections that carry HTTP/3 requests.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 
 use crate::agent::Agent;
 use crate::drain::wait_true;
-use crate::metrics::OpenNote;
+use crate::metrics::OpenGuard;
 use crate::request::serve_request;
 
-/// Largest header section of a request, in bytes.
+/// Maximum size of a request's header section.
 const MAX_HEADER_BYTES: u64 = 32 * 1024;
 
-/// What a GOAWAY leaves room for: requests that were on their way when it was sent are still
+/// How many further requests a GOAWAY permits: those already in flight when it is sent are still
 /// served, here or by a peer.
-const GOAWAY_GRACE: usize = 1 << 20;
+const GOAWAY_EXTRA_REQUESTS: usize = 1 << 20;
 
-/// Why a flow ended other than by its caller's wish.
+/// Why a flow failed, other than being closed by its caller.
 #[derive(Debug, Error)]
 enum FlowError {
     #[error("handshake: {0}")]
@@ -33,7 +33,7 @@
 
 type FlowResolver = RequestResolver<h3_quinn::Connection, Bytes>;
 
-/// Accepts the flows of one service address until its endpoint closes.
+/// Accepts flows to one service address until its endpoint closes.
 pub(crate) async fn accept_flows(agent: Arc<Agent>, address: SocketAddrV4, endpoint: Endpoint) {
     while let Some(incoming) = endpoint.accept().await {
         tokio::spawn(run_flow(Arc::clone(&agent), address, incoming));
@@ -43,7 +43,7 @@
 async fn run_flow(agent: Arc<Agent>, address: SocketAddrV4, incoming: Incoming) {
     let caller = incoming.remote_address();
     if let Err(error) = serve_flow(&agent, address, incoming).await {
-        info!(agent.log, "flow ended"; "caller" => caller.to_string(),
+        info!(agent.log, "flow failed"; "caller" => caller.to_string(),
             "error" => error.to_string());
     }
 }
@@ -61,24 +61,24 @@
         }
     };
     agent.metrics.flows.count("accepted");
-    let _open = FlowNote::new(agent, &connection);
+    let _open = FlowGuard::new(agent, &connection);
     info!(agent.log, "flow accepted"; "decision" => DecisionKind::FlowAccepted,
         "caller" => connection.remote_address().to_string(), "address" => address.to_string());
     let mut http = h3::server::builder()
         .max_field_section_size(MAX_HEADER_BYTES)
         .build(h3_quinn::Connection::new(connection.clone()))
         .await?;
-    // Kept for the flow's life: if the address passes to another service or agency meanwhile, the
-    // flow stays, and its requests still count against the agency that opened it.
+    // Resolved once per flow: if the address is reassigned to another service or agency, the flow
+    // continues and its requests still count against the agency that opened it.
     let agency = agent.fleet.view().agency_at(address).cloned();
     let mut leaving = agent.drain.watch_leaving();
-    let mut told = false;
+    let mut goaway_sent = false;
     loop {
         let accepted = tokio::select! {
             accepted = http.accept() => accepted,
-            () = wait_true(&mut leaving), if !told => {
-                told = true;
-                http.shutdown(GOAWAY_GRACE).await?;
+            () = wait_true(&mut leaving), if !goaway_sent => {
+                goaway_sent = true;
+                http.shutdown(GOAWAY_EXTRA_REQUESTS).await?;
                 continue;
             }
         };
@@ -91,24 +91,24 @@
     }
 }
 
-/// Counts a flow while it is open, and then by what ended it.
-struct FlowNote<'a> {
+/// Counts a flow as open until it is dropped, then counts the cause of its end.
+struct FlowGuard<'a> {
     agent: &'a Agent,
     connection: Connection,
-    _open: OpenNote,
+    _open: OpenGuard,
 }
 
-impl<'a> FlowNote<'a> {
+impl<'a> FlowGuard<'a> {
     fn new(agent: &'a Agent, connection: &Connection) -> Self {
         Self {
             agent,
             connection: connection.clone(),
-            _open: OpenNote::new(&agent.metrics.flows_open),
+            _open: OpenGuard::new(&agent.metrics.flows_open),
         }
     }
 }
 
-impl Drop for FlowNote<'_> {
+impl Drop for FlowGuard<'_> {
     fn drop(&mut self) {
         let cause = match self.connection.close_reason() {
             Some(ConnectionError::ApplicationClosed(_)) => "caller",
@@ -131,9 +131,9 @@
     let agent = Arc::clone(agent);
     let connection = connection.clone();
     tokio::spawn(async move {
-        let _running = agent.drain.enter();
-        // A caller that closes its flow, or whose flow times out, waits for nothing any more;
-        // dropping the request withdraws or cancels it wherever it is.
+        let _running = agent.drain.start_work();
+        // When the caller closes the flow or the flow times out, nobody waits for a response.
+        // Dropping the request cancels it, whether queued or running.
         tokio::select! {
             () = serve_request(&agent, agency, resolver) => {}
             _ = connection.closed() => {}
--- a/bins/agent/src/gate.rs
+++ b/bins/agent/src/gate.rs
@@ -1,8 +1,8 @@
-//! The gate before the own backend server, as tasks use it.
+//! Asynchronous access to the local backend server's gate.
 //!
-//! The decisions are `lovagelatch_placement::RequestGate`'s; this module gives it the time,
-//! wakes the tasks it lets through, and makes sure that whatever becomes of a task, also when
-//! it is dropped at any await, its place in the queue or its slot is given back once.
+//! `lovagelatch_placement::RequestGate` makes the decisions. This module supplies the time, wakes
+//! the tasks it admits, and ensures that each queue entry or slot is released exactly once, even
+//! if its task is dropped at an await point.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 use crate::clock::ProcessClock;
 use crate::exchange::Refusal;
 
-/// When to come back after a wait that the deadline ended.
-const LATE_RETRY: Duration = Duration::from_millis(500);
+/// Retry-after when the deadline passed in the queue.
+const LATE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a waiting task hears.
+/// How a request left the queue; sent to its waiting task.
 #[derive(Debug)]
-enum Turn {
+enum QueueOutcome {
     Start,
     Refused(Refusal),
 }
@@ -33,40 +33,40 @@
 struct GateState {
     gate: RequestGate,
     /// Invariant: one entry for each queued attempt whose task still waits.
-    waiting: HashMap<AttemptId, oneshot::Sender<Turn>>,
-    /// How the newest requests ended, as evidence of whether the backend server works.
-    evidence: PassiveHealth,
+    waiting: HashMap<AttemptId, oneshot::Sender<QueueOutcome>>,
+    /// Health of the backend server as seen in the outcomes of recent requests.
+    passive_health: PassiveHealth,
 }
 
-/// The gate, shared by all tasks.
+/// The local gate, shared by all tasks.
 #[derive(Clone)]
-pub(crate) struct GateKeeper {
+pub(crate) struct SharedGate {
     state: Arc<Mutex<GateState>>,
     changed: Arc<Notify>,
     clock: ProcessClock,
 }
 
-/// Whether a request may go to the backend server now.
+/// Whether a request may be sent to the backend server.
 #[derive(Debug)]
 pub(crate) enum Admission {
     Slot(SlotGuard),
     Refused(Refusal),
-    /// The gate has this very attempt already; nothing is known of how it will end.
+    /// The gate already has this attempt; its outcome is unknown.
     Duplicate,
 }
 
-impl std::fmt::Debug for GateKeeper {
+impl std::fmt::Debug for SharedGate {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("GateKeeper").finish_non_exhaustive()
+        formatter.debug_struct("SharedGate").finish_non_exhaustive()
     }
 }
 
-impl GateKeeper {
+impl SharedGate {
     pub(crate) fn new(settings: GateSettings, clock: ProcessClock) -> Self {
         let state = GateState {
             gate: RequestGate::new(settings),
             waiting: HashMap::new(),
-            evidence: PassiveHealth::default(),
+            passive_health: PassiveHealth::default(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Waits for a slot until the request's deadline.
+    /// Waits for a slot, at most until the request's deadline.
     pub(crate) async fn admit(&self, request: GateRequest) -> Admission {
         let attempt = request.attempt;
         let deadline = self.clock.instant(request.deadline);
@@ -107,33 +107,33 @@
         &self,
         attempt: AttemptId,
         deadline: Instant,
-        receiver: oneshot::Receiver<Turn>,
+        receiver: oneshot::Receiver<QueueOutcome>,
     ) -> Admission {
-        let mut place = QueuePlace {
-            keeper: self.clone(),
+        let mut entry = QueueEntry {
+            gate: self.clone(),
             attempt,
             receiver: Some(receiver),
         };
-        let Some(receiver) = place.receiver.as_mut() else {
-            return late();
+        let Some(receiver) = entry.receiver.as_mut() else {
+            return deadline_refusal();
         };
-        let turn = tokio::time::timeout_at(deadline, receiver).await;
-        match turn {
-            Ok(Ok(Turn::Start)) => {
-                place.receiver = None;
+        let outcome = tokio::time::timeout_at(deadline, receiver).await;
+        match outcome {
+            Ok(Ok(QueueOutcome::Start)) => {
+                entry.receiver = None;
                 Admission::Slot(self.slot(attempt))
             }
-            Ok(Ok(Turn::Refused(refusal))) => {
-                place.receiver = None;
+            Ok(Ok(QueueOutcome::Refused(refusal))) => {
+                entry.receiver = None;
                 Admission::Refused(refusal)
             }
-            // Dropping the place withdraws the request, or gives back the slot that it was
-            // given at this very moment; either way nothing was handed over.
-            Ok(Err(_)) | Err(_) => late(),
+            // Dropping the entry cancels the queued request, or releases the slot if one was
+            // granted concurrently. Either way nothing was sent to the backend server.
+            Ok(Err(_)) | Err(_) => deadline_refusal(),
         }
     }
 
-    /// Says whether new requests are taken.
+    /// Sets whether the gate accepts new requests.
     pub(crate) fn set_condition(&self, condition: GateCondition) {
         let mut state = self.state.lock();
         let actions = state.gate.set_condition(condition, self.clock.now());
@@ -142,16 +142,16 @@
         self.changed.notify_one();
     }
 
-    /// What own requests showed of the backend server lately.
-    pub(crate) fn evidence(&self) -> PassiveHealth {
-        self.state.lock().evidence
+    /// Health of the backend server as seen in the outcomes of recent requests.
+    pub(crate) fn passive_health(&self) -> PassiveHealth {
+        self.state.lock().passive_health
     }
 
     pub(crate) fn report(&self) -> GateReport {
         self.state.lock().gate.report(self.clock.now())
     }
 
-    /// Wakes the gate when something in it falls due, until the task is ended.
+    /// Advances the gate at each of its deadlines, until the task is aborted.
     pub(crate) async fn run(self) {
         loop {
             let wakeup = self.state.lock().gate.next_wakeup();
@@ -174,39 +174,42 @@
 
     fn slot(&self, attempt: AttemptId) -> SlotGuard {
         SlotGuard {
-            keeper: self.clone(),
+            gate: self.clone(),
             attempt,
             finished: false,
         }
     }
 
-    fn finish(&self, attempt: AttemptId, end: SlotOutcome) {
+    fn finish(&self, attempt: AttemptId, outcome: SlotOutcome) {
         let mut state = self.state.lock();
         let now = self.clock.now();
-        state.evidence.record(end, now);
-        let actions = state.gate.finish(attempt, end, now);
+        state.passive_health.record(outcome, now);
+        let actions = state.gate.finish(attempt, outcome, now);
         self.apply(&mut state, actions.into_iter());
         drop(state);
         self.changed.notify_one();
     }
 
-    /// Tells the tasks. A slot given to a task that is gone is given back, and that may start
-    /// yet another.
+    /// Notifies the waiting tasks. A slot granted to a task that is gone is released, which may
+    /// start another request.
     fn apply(&self, state: &mut GateState, actions: impl Iterator<Item = GateAction>) {
         let mut pending: Vec<GateAction> = actions.collect();
         while let Some(action) = pending.pop() {
-            let (attempt, turn) = match action {
-                GateAction::Start(attempt) => (attempt, Turn::Start),
+            let (attempt, outcome) = match action {
+                GateAction::Start(attempt) => (attempt, QueueOutcome::Start),
                 GateAction::Refuse {
                     attempt,
                     reason,
                     retry_after,
-                } => (attempt, Turn::Refused(Refusal::new(reason, retry_after))),
+                } => {
+                    let refusal = Refusal::new(reason, retry_after);
+                    (attempt, QueueOutcome::Refused(refusal))
+                }
             };
-            let started = matches!(turn, Turn::Start);
+            let started = matches!(outcome, QueueOutcome::Start);
             let task = state.waiting.remove(&attempt);
-            let heard = task.is_some_and(|task| task.send(turn).is_ok());
-            if started && !heard {
+            let received = task.is_some_and(|task| task.send(outcome).is_ok());
+            if started && !received {
                 let more = state
                     .gate
                     .finish(attempt, SlotOutcome::Abandoned, self.clock.now());
@@ -216,58 +219,58 @@
     }
 }
 
-fn late() -> Admission {
-    Admission::Refused(Refusal::new(RefusalReason::TooLate, LATE_RETRY))
+fn deadline_refusal() -> Admission {
+    Admission::Refused(Refusal::new(RefusalReason::TooLate, LATE_RETRY_AFTER))
 }
 
-/// A place in the gate's queue; dropped, it is given up.
-struct QueuePlace {
-    keeper: GateKeeper,
+/// An entry in the gate's queue. Dropping it cancels the queued request.
+struct QueueEntry {
+    gate: SharedGate,
     attempt: AttemptId,
-    /// `None` once the task heard its turn.
-    receiver: Option<oneshot::Receiver<Turn>>,
+    /// `None` once the task has received its outcome.
+    receiver: Option<oneshot::Receiver<QueueOutcome>>,
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         let Some(mut receiver) = self.receiver.take() else {
             return;
         };
-        let mut state = self.keeper.state.lock();
+        let mut state = self.gate.state.lock();
         state.waiting.remove(&self.attempt);
-        let now = self.keeper.clock.now();
+        let now = self.gate.clock.now();
         if state.gate.cancel_queued(self.attempt, now) {
             return;
         }
-        // The gate let it through while the task gave up. Without this the slot would stay in
-        // use for ever, and the gate would serve one request fewer at a time from then on.
-        if matches!(receiver.try_recv(), Ok(Turn::Start)) {
+        // The gate admitted the request while the task was being dropped. Without this the slot
+        // would leak and permanently reduce the gate's concurrency by one.
+        if matches!(receiver.try_recv(), Ok(QueueOutcome::Start)) {
             let actions = state.gate.finish(self.attempt, SlotOutcome::Abandoned, now);
-            self.keeper.apply(&mut state, actions.into_iter());
+            self.gate.apply(&mut state, actions.into_iter());
         }
     }
 }
 
-/// A slot in use; dropped without an end, it counts as lost.
+/// A slot in use. Dropped without [`SlotGuard::finish`], it counts as lost.
 #[derive(Debug)]
 pub(crate) struct SlotGuard {
-    keeper: GateKeeper,
+    gate: SharedGate,
     attempt: AttemptId,
     finished: bool,
 }
 
 impl SlotGuard {
-    /// Gives the slot back.
-    pub(crate) fn finish(mut self, end: SlotOutcome) {
+    /// Releases the slot.
+    pub(crate) fn finish(mut self, outcome: SlotOutcome) {
         self.finished = true;
-        self.keeper.finish(self.attempt, end);
+        self.gate.finish(self.attempt, outcome);
     }
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         if !self.finished {
-            self.keeper.finish(self.attempt, SlotOutcome::Lost);
+            self.gate.finish(self.attempt, SlotOutcome::Lost);
         }
     }
 }
--- a/bins/agent/src/gateway/call.rs
+++ b/bins/agent/src/gateway/call.rs
@@ -10,9 +10,9 @@
 use rand::seq::SliceRandom;
 
 use crate::agent::Agent;
-use crate::exchange::{AttemptEnd, CallerRequest, Refusal, new_attempt};
+use crate::exchange::{AttemptOutcome, CallerRequest, Refusal, new_attempt};
 use crate::headers;
-use crate::path::plain_path;
+use crate::path::normalize_path;
 use crate::relay::{RelayEnd, RelayTerms, unreached};
 
 /// A call as the backend server made it.
@@ -25,14 +25,14 @@
 impl Agent {
     /// Calls a dependency: any live target of it, and another one after a refusal, within the
     /// attempts left and the retry budget.
-    pub(crate) async fn call(self: &Arc<Self>, call: DependencyCall) -> AttemptEnd {
+    pub(crate) async fn call(self: &Arc<Self>, call: DependencyCall) -> AttemptOutcome {
         let attempt = new_attempt();
         let view = self.fleet.view();
         if !view.may_call(&self.settings.service, &call.service) {
             info!(self.log, "call refused"; "decision" => DecisionKind::RequestRefused,
                 "dependency" => call.service.as_str(), "reason" => "not a dependency");
             let refusal = Refusal::new(RefusalReason::WrongService, std::time::Duration::ZERO);
-            return AttemptEnd::NotRun(refusal);
+            return AttemptOutcome::NotRun(refusal);
         }
         if self.is_once_at(&call) {
             return self.file_call(&call, attempt).await;
@@ -40,12 +40,16 @@
         self.call_any(call, attempt).await
     }
 
-    async fn call_any(self: &Arc<Self>, call: DependencyCall, attempt: AttemptId) -> AttemptEnd {
+    async fn call_any(
+        self: &Arc<Self>,
+        call: DependencyCall,
+        attempt: AttemptId,
+    ) -> AttemptOutcome {
         let DependencyCall {
             service,
             mut request,
         } = call;
-        self.note_request(&request);
+        self.record_request(&request);
         let mut refusal = unreached();
         for target in self.live_targets(&service) {
             info!(self.log, "call relayed"; "decision" => DecisionKind::RequestRelayed,
@@ -55,7 +59,7 @@
             let end = self.relays.relay(target, &request, terms).await;
             self.metrics.relays.count(end.word());
             match end {
-                RelayEnd::Ended(AttemptEnd::NotRun(refused)) => refusal = refused,
+                RelayEnd::Ended(AttemptOutcome::NotRun(refused)) => refusal = refused,
                 RelayEnd::Ended(end) => return end,
                 RelayEnd::NotHandedOver => {}
             }
@@ -64,25 +68,29 @@
                 None => break,
             }
         }
-        AttemptEnd::NotRun(refusal)
+        AttemptOutcome::NotRun(refusal)
     }
 
     /// A once-only call goes to the home that its ticket names, and nowhere else.
-    async fn file_call(self: &Arc<Self>, call: &DependencyCall, attempt: AttemptId) -> AttemptEnd {
+    async fn file_call(
+        self: &Arc<Self>,
+        call: &DependencyCall,
+        attempt: AttemptId,
+    ) -> AttemptOutcome {
         let key = call.request.headers.get(headers::IDEMPOTENCY_KEY);
         let key = key.and_then(|key| key.to_str().ok());
         let ticket = key.and_then(|key| RequestTicket::open(key, &self.keys.load()).ok());
         let ticket = ticket.filter(|ticket| ticket.service == call.service.id());
         let (Some(key), Some(ticket)) = (key, ticket) else {
             let refusal = Refusal::new(RefusalReason::TicketNeeded, std::time::Duration::ZERO);
-            return AttemptEnd::NotRun(refusal);
+            return AttemptOutcome::NotRun(refusal);
         };
         let terms = self.call_terms(&call.service, attempt, Some(key.to_owned()));
         let end = self.relays.relay(ticket.home, &call.request, terms).await;
         self.metrics.relays.count(end.word());
         match end {
             RelayEnd::Ended(end) => end,
-            RelayEnd::NotHandedOver => AttemptEnd::Unknown,
+            RelayEnd::NotHandedOver => AttemptOutcome::Unknown,
         }
     }
 
@@ -90,7 +98,7 @@
         let view = self.fleet.view();
         let entry = view.text().service(call.service.as_str());
         let method: &Method = &call.request.method;
-        let path = plain_path(&call.request.path);
+        let path = normalize_path(&call.request.path);
         entry.is_some_and(|entry| entry.is_once_only(method.as_str(), &path))
     }
 
--- a/bins/agent/src/gateway/handler.rs
+++ b/bins/agent/src/gateway/handler.rs
@@ -20,11 +20,11 @@
 use tokio_util::io::StreamReader;
 
 use crate::agent::Agent;
-use crate::exchange::{Answer, AnswerBody, AttemptEnd, CallerRequest, Refusal};
+use crate::exchange::{AttemptOutcome, AttemptResponse, CallerRequest, Refusal, ResponseBody};
 use crate::gateway::call::DependencyCall;
 use crate::headers;
-use crate::metrics::reason_word;
-use crate::reply::ReplyTerms;
+use crate::metrics::reason_label;
+use crate::reply::ReplyContext;
 
 const METHODS: [Method; 7] = [
     Method::Get,
@@ -105,10 +105,10 @@
         }
     }
     let arrived = Instant::now();
-    let asked = headers::number_of(&fields, &headers::DEADLINE_MS).map(Duration::from_millis);
+    let asked = headers::parse_number(&fields, &headers::DEADLINE_MS).map(Duration::from_millis);
     let time = asked.unwrap_or(agent.settings.common.limits.request_deadline);
     let attempts = fields.get(headers::ATTEMPTS_LEFT);
-    let allowance = headers::allowance_of(attempts.map(HeaderValue::as_bytes));
+    let allowance = headers::parse_allowance(attempts.map(HeaderValue::as_bytes));
     let mut passed = headers::end_to_end(&fields);
     passed.remove(http::header::HOST);
     passed.remove(http::header::CONTENT_LENGTH);
@@ -125,33 +125,39 @@
     Some(DependencyCall { service, request })
 }
 
-async fn to_response<'r>(agent: &Agent, request: &CallerRequest, end: AttemptEnd) -> Response<'r> {
-    let terms = ReplyTerms {
+async fn to_response<'r>(
+    agent: &Agent,
+    request: &CallerRequest,
+    end: AttemptOutcome,
+) -> Response<'r> {
+    let terms = ReplyContext {
         agent: agent.settings.common.name.clone(),
         ticket: None,
     };
     let ticketed = request.headers.contains_key(headers::IDEMPOTENCY_KEY);
     let lost = || head_only(&terms.unknown(request.is_late(), ticketed));
     match end {
-        AttemptEnd::Answered(answer) if may_stream(&answer, request) => {
+        AttemptOutcome::Answered(answer) if may_stream(&answer, request) => {
             let head = terms.done(&answer);
             stream_body(&head, answer.body)
         }
-        AttemptEnd::Answered(mut answer) => match answer.body.collect(MAX_UNSIZED_BYTES).await {
-            Ok(body) => whole_body(&terms.done(&answer), body),
-            Err(_) => lost(),
-        },
-        AttemptEnd::NotRun(refusal) => {
-            agent.metrics.refusals.count(reason_word(refusal.reason));
+        AttemptOutcome::Answered(mut answer) => {
+            match answer.body.collect(MAX_UNSIZED_BYTES).await {
+                Ok(body) => whole_body(&terms.done(&answer), body),
+                Err(_) => lost(),
+            }
+        }
+        AttemptOutcome::NotRun(refusal) => {
+            agent.metrics.refusals.count(reason_label(refusal.reason));
             head_only(&refused(&terms, refusal))
         }
-        AttemptEnd::Unknown => lost(),
+        AttemptOutcome::Unknown => lost(),
     }
 }
 
 /// A refusal on its way back. This agent is the link next to it and has decided whether to try
 /// again; were the links above to do so too, their shares would multiply.
-fn refused(terms: &ReplyTerms, refusal: Refusal) -> http::Response<()> {
+fn refused(terms: &ReplyContext, refusal: Refusal) -> http::Response<()> {
     let mut head = terms.not_run(refusal);
     let none = HeaderValue::from(u16::from(AttemptAllowance::none().left()));
     head.headers_mut().insert(headers::ATTEMPTS_LEFT, none);
@@ -163,7 +169,7 @@
 /// The server library ends a body that breaks off as if it were whole, unless its length was
 /// announced; then the connection breaks instead. An answer of unknown length is therefore read
 /// whole first. A feed has no end that could be taken for one.
-fn may_stream(answer: &Answer, request: &CallerRequest) -> bool {
+fn may_stream(answer: &AttemptResponse, request: &CallerRequest) -> bool {
     let sized = answer.headers.contains_key(http::header::CONTENT_LENGTH);
     sized || request.is_feed()
 }
@@ -189,7 +195,7 @@
     response.finalize()
 }
 
-fn stream_body<'r>(head: &http::Response<()>, mut body: AnswerBody) -> Response<'r> {
+fn stream_body<'r>(head: &http::Response<()>, mut body: ResponseBody) -> Response<'r> {
     let pieces = stream! {
         loop {
             match body.next().await {
--- a/bins/agent/src/gauges.rs
+++ b/bins/agent/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Instruments that are read when somebody asks: the gate's load and the ledger's size.
+//! Observable gauges: the gate's load and the ledger's size.
 
 use std::sync::{Arc, Weak};
 
@@ -7,25 +7,26 @@
 
 use crate::agent::Agent;
 
-/// Makes the gauges. They hold the agent weakly: the registry outlives it in tests.
+/// Registers the gauges. Their callbacks hold weak references, because in tests the registry
+/// outlives the agent.
 pub(crate) fn register_gauges(agent: &Arc<Agent>, meter: &Meter) {
-    gate_gauge(agent, meter, ("slots", "{request}"), |report| {
+    register_gate_gauge(agent, meter, ("slots", "{request}"), |report| {
         u64::from(report.slots)
     });
-    gate_gauge(agent, meter, ("in_use", "{request}"), |report| {
+    register_gate_gauge(agent, meter, ("in_use", "{request}"), |report| {
         u64::from(report.in_use)
     });
-    gate_gauge(agent, meter, ("queued", "{request}"), |report| {
+    register_gate_gauge(agent, meter, ("queued", "{request}"), |report| {
         u64::from(report.queued)
     });
-    wait_gauge(agent, meter);
-    ledger_gauge(agent, meter, "entries", "{entry}", |agent| agent.once.len());
-    ledger_gauge(agent, meter, "size", "By", |agent| {
+    register_wait_gauge(agent, meter);
+    register_ledger_gauge(agent, meter, "entries", "{entry}", |agent| agent.once.len());
+    register_ledger_gauge(agent, meter, "size", "By", |agent| {
         agent.once.stored_bytes()
     });
 }
 
-fn gate_gauge(
+fn register_gate_gauge(
     agent: &Arc<Agent>,
     meter: &Meter,
     (name, unit): (&str, &'static str),
@@ -43,7 +44,7 @@
         .build();
 }
 
-fn wait_gauge(agent: &Arc<Agent>, meter: &Meter) {
+fn register_wait_gauge(agent: &Arc<Agent>, meter: &Meter) {
     let agent: Weak<Agent> = Arc::downgrade(agent);
     meter
         .f64_observable_gauge("lovagelatch.agent.gate.expected_wait")
@@ -57,7 +58,7 @@
         .build();
 }
 
-fn ledger_gauge(
+fn register_ledger_gauge(
     agent: &Arc<Agent>,
     meter: &Meter,
     name: &str,
--- a/bins/agent/src/headers.rs
+++ b/bins/agent/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which header fields go through, and the names of those the agent sets itself.
+//! Forwarding rules for header fields, and the names of the fields that the agent sets.
 
 use http::HeaderMap;
 use http::header::{self, HeaderName, HeaderValue};
@@ -15,13 +15,14 @@
 pub(crate) const ATTEMPTS_LEFT: HeaderName = HeaderName::from_static(AttemptAllowance::HEADER);
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The caller's own number for a request, which passes both ways.
+/// The caller's own request ID; forwarded in both directions.
 pub(crate) const CALLER_REQUEST: HeaderName = HeaderName::from_static("lovagelatch-caller-request");
 
-/// The prefix of fields that only the system sets. A caller that set them could pass for it.
-const OWN_PREFIX: &str = "lovagelatch-";
+/// Prefix of the fields that only the load balancer sets. They are stripped from requests, because
+/// callers could forge them.
+const RESERVED_PREFIX: &str = "lovagelatch-";
 
-/// Fields about one connection, not about the message (RFC 9110, section 7.6.1).
+/// Hop-by-hop fields (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TE,
@@ -32,24 +33,24 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-fn passes(name: &HeaderName) -> bool {
+fn is_forwarded(name: &HeaderName) -> bool {
     if name == CALLER_REQUEST {
         return true;
     }
-    let own = name.as_str().starts_with(OWN_PREFIX);
-    !own && !HOP_BY_HOP.contains(name) && name.as_str() != "keep-alive"
+    let reserved = name.as_str().starts_with(RESERVED_PREFIX);
+    !reserved && !HOP_BY_HOP.contains(name) && name.as_str() != "keep-alive"
 }
 
-/// The fields that pass from one side to the other.
+/// The fields that are forwarded end to end.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
-    for (name, value) in headers.iter().filter(|(name, _)| passes(name)) {
-        passed.append(name, value.clone());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
+    for (name, value) in headers.iter().filter(|(name, _)| is_forwarded(name)) {
+        forwarded.append(name, value.clone());
     }
-    passed
+    forwarded
 }
 
-/// Fields as they travel between agents.
+/// Encodes fields for a relay message.
 pub(crate) fn to_wire(headers: &HeaderMap) -> SmallVec<[WireHeader; 8]> {
     let fields = headers.iter().map(|(name, value)| WireHeader {
         name: name.as_str().to_owned(),
@@ -58,7 +59,7 @@
     fields.collect()
 }
 
-/// Fields from another agent; unreadable ones are left out.
+/// Decodes the fields of a relay message. Invalid fields are skipped.
 pub(crate) fn from_wire(fields: &[WireHeader]) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(fields.len());
     for field in fields {
@@ -71,24 +72,24 @@
     end_to_end(&headers)
 }
 
-/// The attempts left of a request that another part of the system sent. One that says nothing
-/// readable gets none: a chain of dependencies must not gain attempts on its way.
-pub(crate) fn allowance_of(value: Option<&[u8]>) -> AttemptAllowance {
+/// Parses the remaining attempts of a request from another process. A missing or invalid value
+/// permits no retry, because a chain of dependency calls must not gain attempts.
+pub(crate) fn parse_allowance(value: Option<&[u8]>) -> AttemptAllowance {
     let text = value.and_then(|value| std::str::from_utf8(value).ok());
     let allowance = text.and_then(|text| AttemptAllowance::from_header(text).ok());
     allowance.unwrap_or_else(|| AttemptAllowance::new().for_retry().unwrap_or_default())
 }
 
-/// The attempts that a refusal brings back from further down, if it names any. An unreadable
-/// number counts as none left.
-pub(crate) fn returned_by(headers: &HeaderMap) -> Option<AttemptAllowance> {
+/// The remaining attempts that a dependency returned with its refusal, if present. An invalid
+/// number counts as no attempts left.
+pub(crate) fn returned_allowance(headers: &HeaderMap) -> Option<AttemptAllowance> {
     let value = headers.get(ATTEMPTS_LEFT)?;
     let text = value.to_str().ok();
     let allowance = text.and_then(|text| AttemptAllowance::from_header(text).ok());
     Some(allowance.unwrap_or_else(AttemptAllowance::none))
 }
 
-/// A field that holds a number.
-pub(crate) fn number_of(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+/// Parses a numeric field; `None` if it is missing or invalid.
+pub(crate) fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
--- a/bins/agent/src/lib.rs
+++ b/bins/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent: the process in the slot beside each backend server.
+//! The agent: the process that runs beside each backend server.
 //!
-//! It ends the callers' QUIC flows that balancers forward to it, counts its backend server's
-//! slots, relays new requests to peers' gates, and is the home of the once-only requests whose
-//! tickets it issued.
+//! It terminates the callers' QUIC flows that balancers forward to it, limits concurrent requests
+//! to its backend server's slots, relays requests to peers' gates, and is the home of the
+//! once-only requests whose tickets it issued.
 //!
 //! ```text
 //! balancers --UDP--> packet (QUIC) --> flow (HTTP/3) --> request
@@ -13,9 +13,9 @@
 //!                                            \--> relay --> a peer's gate
 //! ```
 //!
-//! Whatever becomes of a request, its end is one of three: the answer, a proof that it did not
-//! run, or unknown. Each place where a task may be dropped (the caller left, a deadline passed)
-//! holds a guard that withdraws, cancels or gives back what the task held.
+//! Every request ends with one of three outcomes: a response, a proof that it did not run, or
+//! unknown. Wherever a task may be dropped (the caller disconnected, a deadline passed), a guard
+//! cancels the request and releases its slot or its place in the queue.
 
 mod agent;
 mod assembly;
@@ -31,9 +31,11 @@
 mod gate;
 mod gateway;
 mod gauges;
-mod handed;
 mod handover;
 mod headers;
+mod in_flight;
+mod log_limiter;
+mod maintenance;
 mod metrics;
 mod once;
 mod opaque;
@@ -41,11 +43,9 @@
 mod path;
 mod placement;
 mod process;
-mod rate;
 mod relay;
 mod reply;
 mod request;
-mod upkeep;
 
 pub use command::{CommandLine, command_line};
 pub use opaque::run_opaque;
--- a/bins/agent/src/rate.rs
+++ b/bins/agent/src/log_limiter.rs
@@ -1,4 +1,4 @@
-//! Keeps a flood of refusals from becoming a flood of log lines.
+//! Rate limit for log lines, so that a flood of refusals does not flood the log.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Allows so many lines a second; what is not logged is still counted in the metrics.
+/// Allows at most `limit` lines a second. Suppressed events are still counted in the metrics.
 #[derive(Debug)]
 pub(crate) struct LogLimiter {
     limit: u32,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Whether a line may be written now; counts it if so.
+    /// Whether a line may be written now. Each call counts as one line.
     pub(crate) fn allows(&mut self, now: Moment) -> bool {
         if now.since(self.window_start) >= WINDOW {
             self.window_start = now;
--- a/bins/agent/src/main.rs
+++ b/bins/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `lovagelatch-agent`: see the library of this package.
+//! `lovagelatch-agent`: the entry point. The library of this package holds the implementation.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 use lovagelatch_settings::{AgentSettings, OpaqueAgentSettings, SettingsFile, TrafficSettings};
 use lovagelatch_telemetry::new_logger;
 
-/// The binary's name in logs.
+/// Binary name in logs.
 const BINARY: &str = "lovagelatch-agent";
 
 fn main() -> ExitCode {
--- a/bins/agent/src/metrics.rs
+++ b/bins/agent/src/metrics.rs
@@ -1,8 +1,8 @@
-//! The agent's instruments. Their names, units and attributes stand in
-//! `docs/operating/metrics.md`, which a test compares with what the process serves.
+//! The agent's metrics. Their names, units and attributes are documented in
+//! `docs/operating/metrics.md`; a test compares that page with the exported metrics.
 //!
-//! Each series of a counter exists from the start with 0: an alarm on a rise misses the first
-//! event if that is also the first of its series.
+//! Every series of a counter is exported as 0 from the start: an alert on an increase would miss
+//! the first event if the series began with it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,41 +12,41 @@
 use lovagelatch_domain::RefusalReason;
 use lovagelatch_telemetry::{Counter, Histogram, KeyValue, Meter, UpDownCounter};
 
-/// A counter with one attribute, whose totals the status page shows as well.
+/// A counter with one attribute. The status page shows its totals by attribute value.
 #[derive(Clone, Debug)]
-pub(crate) struct WordCounter {
+pub(crate) struct AttributeCounter {
     counter: Counter<u64>,
     name: &'static str,
     attribute: &'static str,
-    words: &'static [&'static str],
+    values: &'static [&'static str],
     totals: Arc<[AtomicU64]>,
 }
 
-impl WordCounter {
+impl AttributeCounter {
     fn new(
         meter: &Meter,
         (name, unit, text): (&'static str, &'static str, &'static str),
         attribute: &'static str,
-        words: &'static [&'static str],
+        values: &'static [&'static str],
     ) -> Self {
         let builder = meter.u64_counter(name).with_unit(unit);
         let counter = builder.with_description(text).build();
-        for word in words {
-            counter.add(0, &[KeyValue::new(attribute, *word)]);
+        for value in values {
+            counter.add(0, &[KeyValue::new(attribute, *value)]);
         }
         Self {
             counter,
             name,
             attribute,
-            words,
-            totals: words.iter().map(|_| AtomicU64::new(0)).collect(),
+            values,
+            totals: values.iter().map(|_| AtomicU64::new(0)).collect(),
         }
     }
 
-    pub(crate) fn count(&self, word: &'static str) {
-        self.counter.add(1, &[KeyValue::new(self.attribute, word)]);
-        let index = self.words.iter().position(|known| *known == word);
-        debug_assert!(index.is_some(), "{word} is not listed for {}", self.name);
+    pub(crate) fn count(&self, value: &'static str) {
+        self.counter.add(1, &[KeyValue::new(self.attribute, value)]);
+        let index = self.values.iter().position(|known| *known == value);
+        debug_assert!(index.is_some(), "unknown value {value} of {}", self.name);
         if let Some(total) = index.and_then(|index| self.totals.get(index)) {
             total.fetch_add(1, Ordering::Relaxed);
         }
@@ -54,37 +54,37 @@
 
     fn add_totals(&self, totals: &mut BTreeMap<String, u64>) {
         let short = self.name.trim_start_matches("lovagelatch.agent.");
-        for (word, total) in self.words.iter().zip(self.totals.iter()) {
+        for (word, total) in self.values.iter().zip(self.totals.iter()) {
             let count = total.load(Ordering::Relaxed);
             totals.insert(format!("{short}.{word}"), count);
         }
     }
 }
 
-/// One thing that is open, counted for as long as it lives.
+/// Counts one flow or feed as open until it is dropped.
 #[derive(Debug)]
-pub(crate) struct OpenNote(UpDownCounter<i64>);
+pub(crate) struct OpenGuard(UpDownCounter<i64>);
 
-impl OpenNote {
+impl OpenGuard {
     pub(crate) fn new(counter: &UpDownCounter<i64>) -> Self {
         counter.add(1, &[]);
         Self(counter.clone())
     }
 }
 
-impl Drop for OpenNote {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.add(-1, &[]);
     }
 }
 
-/// Which kind of route a request was for.
+/// The kind of route that a request was for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RouteKind {
     Plain,
     Once,
     Feed,
-    /// The system's own paths.
+    /// The load balancer's reserved paths.
     System,
 }
 
@@ -103,19 +103,19 @@
 
 const OUTCOMES: [&str; 5] = ["done", "not-run", "unknown", "cut", "caller-gone"];
 
-/// The instruments of one agent.
+/// The metrics of one agent.
 #[derive(Clone, Debug)]
 pub(crate) struct AgentMetrics {
     pub(crate) frames_refused: Counter<u64>,
-    /// Datagrams that QUIC did not get, and those of flows it does not know.
-    pub(crate) packets: WordCounter,
-    pub(crate) flows: WordCounter,
-    pub(crate) flows_ended: WordCounter,
+    /// Datagrams that were not delivered to QUIC, or that belong to no known flow.
+    pub(crate) packets: AttributeCounter,
+    pub(crate) flows: AttributeCounter,
+    pub(crate) flows_ended: AttributeCounter,
     pub(crate) flows_open: UpDownCounter<i64>,
     pub(crate) feeds_open: UpDownCounter<i64>,
-    pub(crate) refusals: WordCounter,
-    pub(crate) relays: WordCounter,
-    pub(crate) answers: WordCounter,
+    pub(crate) refusals: AttributeCounter,
+    pub(crate) relays: AttributeCounter,
+    pub(crate) answers: AttributeCounter,
     requests: Counter<u64>,
     outcomes: Arc<[AtomicU64; OUTCOMES.len()]>,
     request_duration: Histogram<f64>,
@@ -137,7 +137,7 @@
         frames_refused.add(0, &[]);
         Self {
             frames_refused,
-            packets: WordCounter::new(
+            packets: AttributeCounter::new(
                 meter,
                 (
                     "lovagelatch.agent.packets",
@@ -147,13 +147,13 @@
                 "outcome",
                 &["dropped", "wrong_service", "passed_on", "reset"],
             ),
-            flows: WordCounter::new(
+            flows: AttributeCounter::new(
                 meter,
                 ("lovagelatch.agent.flows", "{flow}", "New flows"),
                 "outcome",
                 &["accepted", "handed_on", "failed"],
             ),
-            flows_ended: WordCounter::new(
+            flows_ended: AttributeCounter::new(
                 meter,
                 ("lovagelatch.agent.flows.ended", "{flow}", "Ended flows"),
                 "cause",
@@ -161,7 +161,7 @@
             ),
             flows_open: open("lovagelatch.agent.flows.open", "{flow}", "Open flows"),
             feeds_open: open("lovagelatch.agent.feeds.open", "{feed}", "Open feeds"),
-            refusals: WordCounter::new(
+            refusals: AttributeCounter::new(
                 meter,
                 (
                     "lovagelatch.agent.refusals",
@@ -171,7 +171,7 @@
                 "reason",
                 &REASONS,
             ),
-            relays: WordCounter::new(
+            relays: AttributeCounter::new(
                 meter,
                 (
                     "lovagelatch.agent.relays",
@@ -181,7 +181,7 @@
                 "end",
                 &["answered", "refused", "unknown", "unreached"],
             ),
-            answers: WordCounter::new(
+            answers: AttributeCounter::new(
                 meter,
                 (
                     "lovagelatch.agent.answers",
@@ -201,13 +201,13 @@
         }
     }
 
-    /// Counts a caller's request that ended.
+    /// Records the outcome and duration of a caller's request.
     pub(crate) fn count_request(&self, outcome: &'static str, route: RouteKind, took: Duration) {
         let outcome_field = KeyValue::new("outcome", outcome);
         let route_field = KeyValue::new("route", route.as_str());
         self.requests
             .add(1, &[outcome_field.clone(), route_field.clone()]);
-        // A feed's duration is its reader's patience, and would hide the others'.
+        // A feed lasts as long as its reader stays and would distort the histogram.
         if route != RouteKind::Feed {
             self.request_duration
                 .record(took.as_secs_f64(), &[outcome_field, route_field]);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Totals for the status page.
+    /// The totals of all counters, for the status page.
     pub(crate) fn totals(&self) -> BTreeMap<String, u64> {
         let mut totals = BTreeMap::new();
         let counters = [
@@ -271,8 +271,8 @@
     "ticket_needed",
 ];
 
-/// The word of a reason in metrics and logs.
-pub(crate) const fn reason_word(reason: RefusalReason) -> &'static str {
+/// The label of a refusal reason in metrics and logs.
+pub(crate) const fn reason_label(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Full => "full",
         RefusalReason::TooLate => "too_late",
--- a/bins/agent/src/once/filing.rs
+++ b/bins/agent/src/once/filing.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::agent::Agent;
-use crate::exchange::{Answer, AnswerBody, AttemptEnd, CallerRequest, Refusal};
+use crate::exchange::{AttemptOutcome, AttemptResponse, CallerRequest, Refusal, ResponseBody};
 use crate::headers;
 use crate::once::ledger::{EndReceiver, EndSender, FilingEnd, HomeStep};
 use crate::relay::RelayEnd;
@@ -38,20 +38,20 @@
         key: Option<&str>,
         request: CallerRequest,
         attempt: AttemptId,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let refusal = Refusal::new(RefusalReason::TicketNeeded, Duration::ZERO);
         let Some(key) = key else {
-            return AttemptEnd::NotRun(refusal);
+            return AttemptOutcome::NotRun(refusal);
         };
         let ticket = match RequestTicket::open(key, &self.keys.load()) {
             Ok(ticket) if ticket.service == self.service => ticket,
             // No agent made it, so nothing can have run under it.
             Err(TicketError::Malformed | TicketError::InvalidTag) => {
-                return AttemptEnd::NotRun(refusal);
+                return AttemptOutcome::NotRun(refusal);
             }
             // Its key generation was dropped, or its address passed to this service: its filing
             // may have run. Told "not run", the caller would file anew and it would run twice.
-            Ok(_) | Err(TicketError::UnknownGeneration { .. }) => return AttemptEnd::Unknown,
+            Ok(_) | Err(TicketError::UnknownGeneration { .. }) => return AttemptOutcome::Unknown,
         };
         if ticket.home == self.address() || self.once.answers_for(&ticket) {
             return self.file_here(&ticket, request, attempt).await;
@@ -65,14 +65,14 @@
         key: &str,
         request: CallerRequest,
         attempt: AttemptId,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         match RequestTicket::open(key, &self.keys.load()) {
             Ok(ticket) if ticket.service == self.service => {
                 self.file_here(&ticket, request, attempt).await
             }
             // The peer could read it and this agent cannot: the keys are being rotated. Whether
             // it ran before is not known here.
-            _ => AttemptEnd::Unknown,
+            _ => AttemptOutcome::Unknown,
         }
     }
 
@@ -82,7 +82,7 @@
         key: &str,
         request: CallerRequest,
         attempt: AttemptId,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let home = ticket.home;
         info!(self.log, "filing relayed to its home"; "decision" => DecisionKind::RequestRelayed,
             "attempt" => attempt.to_string(), "home" => home.to_string());
@@ -102,7 +102,7 @@
                 return self.file_here(ticket, request, attempt).await;
             }
             if !self.may_return(home) || Instant::now() + HOME_PAUSE >= give_up {
-                return AttemptEnd::Unknown;
+                return AttemptOutcome::Unknown;
             }
             tokio::time::sleep(HOME_PAUSE).await;
         }
@@ -121,7 +121,7 @@
         ticket: &RequestTicket,
         request: CallerRequest,
         attempt: AttemptId,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         match self.once.step(ticket, attempt, &request) {
             HomeStep::End(end) => end,
             HomeStep::Join(receiver) => wait_for(receiver, &request, false).await,
@@ -142,17 +142,17 @@
     attempt: AttemptId,
     sender: EndSender,
 ) {
-    let _running = agent.drain.enter();
+    let _running = agent.drain.start_work();
     let end = match agent.dispatch(&request, attempt).await {
-        AttemptEnd::Answered(answer) => store(answer).await,
-        AttemptEnd::NotRun(refusal) => FilingEnd::NotRun(refusal),
-        AttemptEnd::Unknown => FilingEnd::Unknown,
+        AttemptOutcome::Answered(answer) => store(answer).await,
+        AttemptOutcome::NotRun(refusal) => FilingEnd::NotRun(refusal),
+        AttemptOutcome::Unknown => FilingEnd::Unknown,
     };
     agent.once.finish(attempt, &end);
     sender.send_replace(Some(end));
 }
 
-async fn store(mut answer: Answer) -> FilingEnd {
+async fn store(mut answer: AttemptResponse) -> FilingEnd {
     let Ok(body) = answer.body.collect(MAX_ANSWER_BYTES).await else {
         return FilingEnd::Unknown;
     };
@@ -167,7 +167,11 @@
     }))
 }
 
-async fn wait_for(mut receiver: EndReceiver, request: &CallerRequest, first: bool) -> AttemptEnd {
+async fn wait_for(
+    mut receiver: EndReceiver,
+    request: &CallerRequest,
+    first: bool,
+) -> AttemptOutcome {
     let limit = request.deadline + END_WAIT;
     let ended = receiver.wait_for(Option::is_some);
     let end = match tokio::time::timeout_at(limit, ended).await {
@@ -175,14 +179,14 @@
         Ok(Err(_)) | Err(_) => None,
     };
     match end {
-        Some(FilingEnd::Done(stored)) if first => AttemptEnd::Answered(to_answer(&stored)),
-        Some(FilingEnd::Done(stored)) => AttemptEnd::Answered(replay(&stored, request)),
-        Some(FilingEnd::NotRun(refusal)) => AttemptEnd::NotRun(refusal),
-        Some(FilingEnd::Unknown) | None => AttemptEnd::Unknown,
+        Some(FilingEnd::Done(stored)) if first => AttemptOutcome::Answered(to_answer(&stored)),
+        Some(FilingEnd::Done(stored)) => AttemptOutcome::Answered(replay(&stored, request)),
+        Some(FilingEnd::NotRun(refusal)) => AttemptOutcome::NotRun(refusal),
+        Some(FilingEnd::Unknown) | None => AttemptOutcome::Unknown,
     }
 }
 
-fn to_answer(stored: &StoredAnswer) -> Answer {
+fn to_answer(stored: &StoredAnswer) -> AttemptResponse {
     let fields: Vec<WireHeader> = stored
         .headers
         .iter()
@@ -191,16 +195,16 @@
             value: field.value.clone(),
         })
         .collect();
-    Answer {
+    AttemptResponse {
         status: StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK),
         headers: headers::from_wire(&fields),
-        body: AnswerBody::Whole(Some(Bytes::from(stored.body.clone()))),
+        body: ResponseBody::Buffered(Some(Bytes::from(stored.body.clone()))),
     }
 }
 
 /// The stored answer for another attempt: it carries that attempt's own caller number, or its
 /// caller would take it for a crossed answer.
-pub(crate) fn replay(stored: &StoredAnswer, request: &CallerRequest) -> Answer {
+pub(crate) fn replay(stored: &StoredAnswer, request: &CallerRequest) -> AttemptResponse {
     let mut answer = to_answer(stored);
     answer.headers.remove(headers::CALLER_REQUEST);
     if let Some(number) = request.headers.get(headers::CALLER_REQUEST) {
--- a/bins/agent/src/once/ledger.rs
+++ b/bins/agent/src/once/ledger.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use crate::clock::unix_seconds;
-use crate::exchange::{AttemptEnd, CallerRequest, Refusal};
+use crate::exchange::{AttemptOutcome, CallerRequest, Refusal};
 use crate::once::filing::replay;
 
 /// How a run ended, for all attempts that wait for it.
@@ -51,7 +51,7 @@
     /// It waits for the one that runs.
     Join(EndReceiver),
     /// It is answered at once.
-    End(AttemptEnd),
+    End(AttemptOutcome),
 }
 
 impl OnceLedger {
@@ -115,24 +115,24 @@
             }
             LedgerVerdict::Join(first) => match state.running.get(&first) {
                 Some(receiver) => HomeStep::Join(receiver.clone()),
-                None => HomeStep::End(AttemptEnd::Unknown),
+                None => HomeStep::End(AttemptOutcome::Unknown),
             },
             LedgerVerdict::Replay(stored) => {
-                HomeStep::End(AttemptEnd::Answered(replay(&stored, request)))
+                HomeStep::End(AttemptOutcome::Answered(replay(&stored, request)))
             }
             // A closed ledger runs nothing more, and its successors never run its tickets.
             LedgerVerdict::NeverRun | LedgerVerdict::HandedOver => {
                 let refusal = Refusal::new(RefusalReason::TicketNeeded, Duration::ZERO);
-                HomeStep::End(AttemptEnd::NotRun(refusal))
+                HomeStep::End(AttemptOutcome::NotRun(refusal))
             }
             LedgerVerdict::Full { retry_after } => {
                 let refusal = Refusal::new(RefusalReason::Full, retry_after);
-                HomeStep::End(AttemptEnd::NotRun(refusal))
+                HomeStep::End(AttemptOutcome::NotRun(refusal))
             }
             LedgerVerdict::Unknown
             | LedgerVerdict::Expired
             | LedgerVerdict::OtherHome(_)
-            | LedgerVerdict::AttemptReused => HomeStep::End(AttemptEnd::Unknown),
+            | LedgerVerdict::AttemptReused => HomeStep::End(AttemptOutcome::Unknown),
         }
     }
 
--- a/bins/agent/src/once/ticket.rs
+++ b/bins/agent/src/once/ticket.rs
@@ -9,7 +9,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::agent::Agent;
-use crate::exchange::{Answer, AnswerBody, AttemptEnd, CallerRequest, Refusal, new_attempt};
+use crate::exchange::{
+    AttemptOutcome, AttemptResponse, CallerRequest, Refusal, ResponseBody, new_attempt,
+};
 
 /// Where a caller fetches a ticket.
 pub(crate) const TICKET_PATH: &str = "/.well-known/lovagelatch/ticket";
@@ -32,10 +34,10 @@
     }
 
     /// A fresh ticket as an answer to a peer.
-    pub(crate) fn answer_ticket(&self) -> AttemptEnd {
+    pub(crate) fn answer_ticket(&self) -> AttemptOutcome {
         match self.new_ticket() {
-            Some(ticket) => AttemptEnd::Answered(ticket_answer(&ticket)),
-            None => AttemptEnd::NotRun(leaving()),
+            Some(ticket) => AttemptOutcome::Answered(ticket_answer(&ticket)),
+            None => AttemptOutcome::NotRun(leaving()),
         }
     }
 
@@ -48,7 +50,7 @@
             return Ok(ticket);
         }
         match self.dispatch(request, new_attempt()).await {
-            AttemptEnd::Answered(mut answer) => {
+            AttemptOutcome::Answered(mut answer) => {
                 let body = answer.body.collect(MAX_TICKET_BYTES).await;
                 let issued = body
                     .ok()
@@ -57,8 +59,8 @@
                     .map(|issued: IssuedTicket| issued.ticket)
                     .ok_or(leaving())
             }
-            AttemptEnd::NotRun(refusal) => Err(refusal),
-            AttemptEnd::Unknown => Err(leaving()),
+            AttemptOutcome::NotRun(refusal) => Err(refusal),
+            AttemptOutcome::Unknown => Err(leaving()),
         }
     }
 }
@@ -70,7 +72,7 @@
 }
 
 /// An answer that hands a ticket out.
-pub(crate) fn ticket_answer(ticket: &str) -> Answer {
+pub(crate) fn ticket_answer(ticket: &str) -> AttemptResponse {
     let issued = IssuedTicket {
         ticket: ticket.to_owned(),
     };
@@ -80,10 +82,10 @@
     let json = HeaderValue::from_static("application/json");
     fields.insert(header::CONTENT_TYPE, json);
     fields.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
-    Answer {
+    AttemptResponse {
         status: StatusCode::OK,
         headers: fields,
-        body: AnswerBody::Whole(Some(Bytes::from(body))),
+        body: ResponseBody::Buffered(Some(Bytes::from(body))),
     }
 }
 
--- a/bins/agent/src/packet/ingress.rs
+++ b/bins/agent/src/packet/ingress.rs
@@ -14,9 +14,9 @@
 
 use crate::agent::Agent;
 use crate::flow::accept_flows;
+use crate::log_limiter::LogLimiter;
 use crate::packet::arrival::ArrivalRouter;
 use crate::packet::endpoint::PushResult;
-use crate::rate::LogLimiter;
 
 /// Room for the largest UDP datagram.
 const BUFFER_BYTES: usize = 65_536;
@@ -93,7 +93,7 @@
 
     /// Gives the caller's packet to QUIC, or to the agent that holds or shall open its flow.
     fn accept_packet(&mut self, header: &ForwardHeader, packet: &[u8]) {
-        if !self.agent.drain.is_open() {
+        if !self.agent.drain.accepts_packets() {
             self.agent.metrics.packets.count("dropped");
             return;
         }
--- a/bins/agent/src/path.rs
+++ b/bins/agent/src/path.rs
@@ -1,13 +1,13 @@
-//! Paths in one spelling.
+//! Path normalization.
 //!
-//! `/claims`, `//claims` and `/%63laims` lead to the same handler in most backend servers. If
-//! only one spelling counted as a once-only route, a caller (or an attacker) could file past
-//! the ledger with another, or reach the system's own endpoints.
+//! `/claims`, `//claims` and `/%63laims` reach the same handler in most backend servers. If only
+//! one spelling matched a once-only route, a caller (or an attacker) could use another one to
+//! bypass the ledger or to reach the reserved endpoints.
 
-/// The path without its query: percent-decoded, without empty and dot segments.
-pub(crate) fn plain_path(path: &str) -> String {
+/// Returns the path without its query, percent-decoded, with empty and dot segments removed.
+pub(crate) fn normalize_path(path: &str) -> String {
     let path = path.split(['?', '#']).next().unwrap_or(path);
-    let decoded = decode(path);
+    let decoded = percent_decode(path);
     let mut segments: Vec<&str> = Vec::new();
     for segment in decoded.split('/') {
         match segment {
@@ -21,7 +21,7 @@
     format!("/{}", segments.join("/"))
 }
 
-fn decode(path: &str) -> String {
+fn percent_decode(path: &str) -> String {
     let bytes = path.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
     let mut index = 0;
--- a/bins/agent/src/placement.rs
+++ b/bins/agent/src/placement.rs
@@ -1,4 +1,4 @@
-//! The placement of requests, as tasks use it.
+//! Shared access to the placement of requests among peers.
 
 use std::time::Duration;
 
@@ -9,10 +9,11 @@
 };
 use parking_lot::Mutex;
 
-/// The placement with the peers it deals with.
+/// The placement policy, shared by all tasks and limited to this agent's subset of peers.
 pub(crate) struct SharedPlacement {
     placement: Mutex<PeerPlacement>,
-    /// In address order; empty before the first view. Used only above `SUBSET_SIZE` peers.
+    /// The peers that this agent sends requests to, sorted by address. Empty before the first
+    /// view; used only above `SUBSET_SIZE` peers.
     subset: Mutex<Vec<AgentAddress>>,
     fleet: FleetClient,
 }
@@ -34,61 +35,61 @@
         }
     }
 
-    /// Picks a gate among the own one and those of the peers dealt with.
+    /// Picks the local gate or that of a peer in the subset.
     pub(crate) fn choose(
         &self,
-        own: &GateReport,
+        local: &GateReport,
         peers: &[PeerReport],
         tried: &[AgentAddress],
         time_left: Duration,
     ) -> PlacementChoice {
         let now = self.now();
-        let near = self.near(peers);
-        let peers = near.as_deref().unwrap_or(peers);
+        let selected = self.within_subset(peers);
+        let peers = selected.as_deref().unwrap_or(peers);
         let mut placement = self.placement.lock();
-        placement.choose(own, peers, tried, time_left, now)
+        placement.choose(local, peers, tried, time_left, now)
     }
 
-    /// What a request that came now would cost at each gate, least first.
-    pub(crate) fn costs(&self, own: &GateReport, peers: &[PeerReport]) -> Vec<GateCost> {
+    /// The cost of each gate for a request that arrives now, in ascending order.
+    pub(crate) fn costs(&self, local: &GateReport, peers: &[PeerReport]) -> Vec<GateCost> {
         let now = self.now();
-        let near = self.near(peers);
-        let peers = near.as_deref().unwrap_or(peers);
-        self.placement.lock().costs(own, peers, now).into_vec()
+        let selected = self.within_subset(peers);
+        let peers = selected.as_deref().unwrap_or(peers);
+        self.placement.lock().costs(local, peers, now).into_vec()
     }
 
-    pub(crate) fn sent(&self, peer: AgentAddress) {
+    pub(crate) fn record_sent(&self, peer: AgentAddress) {
         let now = self.now();
         self.placement.lock().record_sent(peer, now);
     }
 
-    pub(crate) fn ended(&self, peer: AgentAddress) {
+    pub(crate) fn record_ended(&self, peer: AgentAddress) {
         let now = self.now();
         self.placement.lock().record_ended(peer, now);
     }
 
-    pub(crate) fn observed(&self, peer: AgentAddress, end: ExchangeOutcome) {
+    pub(crate) fn record_outcome(&self, peer: AgentAddress, outcome: ExchangeOutcome) {
         let now = self.now();
-        self.placement.lock().record_outcome(peer, end, now);
+        self.placement.lock().record_outcome(peer, outcome, now);
     }
 
-    /// Notes the load that came with the end of an answer or with a refusal.
-    pub(crate) fn reported(&self, peer: AgentAddress, load: Option<GateReport>) {
+    /// Records the load report that came with the end of a response or with a refusal.
+    pub(crate) fn record_report(&self, peer: AgentAddress, load: Option<GateReport>) {
         if let Some(load) = load {
             let now = self.now();
             self.placement.lock().record_report(peer, load, now);
         }
     }
 
-    /// Takes a new list of the service's agents: forgets those gone, and those not dealt with.
-    pub(crate) fn renew(&self, subset: Vec<AgentAddress>) {
+    /// Replaces the subset of peers and discards the state of all others.
+    pub(crate) fn set_subset(&self, subset: Vec<AgentAddress>) {
         let is_known = |peer: AgentAddress| subset.binary_search(&peer).is_ok();
         self.placement.lock().retain(is_known);
         *self.subset.lock() = subset;
     }
 
-    /// The reports of the peers dealt with, where there are more.
-    fn near(&self, peers: &[PeerReport]) -> Option<Vec<PeerReport>> {
+    /// The reports of the peers in the subset; `None` when no subset is in use.
+    fn within_subset(&self, peers: &[PeerReport]) -> Option<Vec<PeerReport>> {
         if peers.len() <= SUBSET_SIZE {
             return None;
         }
@@ -96,10 +97,10 @@
         if subset.is_empty() {
             return None;
         }
-        let near = peers
+        let selected = peers
             .iter()
             .filter(|peer| subset.binary_search(&peer.agent).is_ok());
-        Some(near.cloned().collect())
+        Some(selected.cloned().collect())
     }
 
     fn now(&self) -> Moment {
--- a/bins/agent/src/process.rs
+++ b/bins/agent/src/process.rs
@@ -1,4 +1,4 @@
-//! The agent process: start, run, stop.
+//! The agent process: startup, background tasks and graceful shutdown.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -23,75 +23,76 @@
 use crate::agent::Agent;
 use crate::assembly::{AgentParts, new_agent, new_identity, new_operations};
 use crate::control::accept_streams;
-use crate::drain::{FEED_END_WAIT, LEAST_STAY};
+use crate::drain::{FEED_CLOSE_GRACE, MIN_DRAIN_TIME};
 use crate::gateway::serve_gateway;
 use crate::gauges::register_gauges;
-use crate::handover::hand_over;
+use crate::handover::hand_over_ledger;
+use crate::maintenance::{
+    publish_gate_report, refresh_peers, watch_backend_health, watch_certificate, watch_key_file,
+};
 use crate::metrics::AgentMetrics;
 use crate::packet::{PacketIngress, TlsError};
-use crate::upkeep::{keep_certificate, keep_condition, keep_keys, keep_peers, keep_report};
 
-/// Longest wait for callers to be told that their flows end.
-const CLOSE_WAIT: Duration = Duration::from_secs(1);
+/// Timeout for sending the close of all flows to their callers.
+const FLOW_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asked-for kernel buffer of the control socket, in bytes: room for a burst while the agent is
-/// descheduled.
+/// Requested receive buffer of the control socket: holds a burst while the agent is descheduled.
 const RECEIVE_BUFFER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why an agent could not run.
+/// Why an agent could not start.
 #[derive(Debug, Error)]
 pub enum AgentError {
-    /// The keys cannot be used.
+    /// The key file is unusable.
     #[error(transparent)]
     Keys(#[from] KeyFileError),
-    /// The certificate or its key cannot be used.
+    /// The certificate or its private key is unusable.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// An address cannot be used.
+    /// An address cannot be bound.
     #[error("address {address}: {source}")]
     Bind {
-        /// The address.
+        /// The configured control address.
         address: SocketAddrV4,
-        /// What the operating system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Metrics cannot be kept.
+    /// The metrics registry cannot be created.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
-    /// The operating system refused something else that the process needs.
+    /// Another system call failed.
     #[error("operating system: {0}")]
     System(#[from] io::Error),
 }
 
-/// The sockets of the control address, opened before anything else so that a wrong address is
-/// an error at start.
+/// The sockets of the control address, opened before anything else so that a wrong address fails
+/// the startup.
 #[derive(Debug)]
 pub struct ControlSockets {
-    /// Frames.
+    /// UDP: frames with forwarded packets and fleet messages.
     pub datagrams: UdpSocket,
-    /// Streams.
+    /// TCP: relayed requests, fleet messages and ledger handovers.
     pub streams: TcpListener,
 }
 
 impl ControlSockets {
-    /// Opens both.
+    /// Binds both sockets.
     ///
     /// # Errors
     ///
-    /// [`AgentError::Bind`] when the address cannot be had.
+    /// [`AgentError::Bind`] when the address cannot be bound.
     pub async fn bind(address: SocketAddrV4) -> Result<Self, AgentError> {
-        let refused = |source| AgentError::Bind { address, source };
-        let datagrams = UdpSocket::bind(address).await.map_err(refused)?;
-        // The system grants what it allows; less only means that bursts are lost sooner.
+        let bind_error = |source| AgentError::Bind { address, source };
+        let datagrams = UdpSocket::bind(address).await.map_err(bind_error)?;
+        // The kernel may grant less, which only means that smaller bursts are lost.
         let _ = SockRef::from(&datagrams).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
         Ok(Self {
             datagrams,
-            streams: TcpListener::bind(address).await.map_err(refused)?,
+            streams: TcpListener::bind(address).await.map_err(bind_error)?,
         })
     }
 }
 
-/// An agent that serves.
+/// A running agent. Dropping it aborts its tasks.
 pub struct RunningAgent {
     agent: Arc<Agent>,
     identity: ProcessIdentity,
@@ -101,11 +102,11 @@
 }
 
 impl RunningAgent {
-    /// Starts an agent on sockets that are open already.
+    /// Starts an agent on sockets that are already open.
     ///
     /// # Errors
     ///
-    /// An [`AgentError`] when its settings cannot be put to use.
+    /// An [`AgentError`] when the settings or the files they name are unusable.
     pub async fn start(
         settings: AgentSettings,
         sockets: ControlSockets,
@@ -145,56 +146,58 @@
             metrics: metrics.clone(),
             tasks: Vec::new(),
         };
-        running.spawn_upkeep(metrics);
-        running.spawn_serving(control, sockets.streams);
-        running.spawn_opening();
+        running.spawn_maintenance(metrics);
+        running.spawn_ingress(control, sockets.streams);
+        running.spawn_readiness();
         Ok(running)
     }
 
-    fn spawn_upkeep(&mut self, metrics: MetricsRegistry) {
+    fn spawn_maintenance(&mut self, metrics: MetricsRegistry) {
         let agent = &self.agent;
         self.tasks.push(tokio::spawn(agent.gate.clone().run()));
         self.tasks
-            .push(tokio::spawn(keep_condition(Arc::clone(agent))));
+            .push(tokio::spawn(watch_backend_health(Arc::clone(agent))));
         self.tasks
-            .push(tokio::spawn(keep_report(Arc::clone(agent))));
-        self.tasks.push(tokio::spawn(keep_peers(Arc::clone(agent))));
-        self.tasks.push(tokio::spawn(keep_keys(Arc::clone(agent))));
+            .push(tokio::spawn(publish_gate_report(Arc::clone(agent))));
         self.tasks
-            .push(tokio::spawn(keep_certificate(Arc::clone(agent))));
+            .push(tokio::spawn(refresh_peers(Arc::clone(agent))));
+        self.tasks
+            .push(tokio::spawn(watch_key_file(Arc::clone(agent))));
+        self.tasks
+            .push(tokio::spawn(watch_certificate(Arc::clone(agent))));
         let gateway = serve_gateway(Arc::clone(agent), Arc::clone(&self.gateway));
         let gateway_log = agent.log.clone();
         self.tasks.push(tokio::spawn(async move {
-            if let Err(fault) = gateway.await {
-                error!(gateway_log, "dependencies not served"; "error" => fault.to_string());
+            if let Err(failure) = gateway.await {
+                error!(gateway_log, "dependency gateway failed"; "error" => failure.to_string());
             }
         }));
         let operations = new_operations(agent, &self.identity, metrics);
         let log = agent.log.clone();
         self.tasks.push(tokio::spawn(async move {
-            if let Err(fault) = operations.serve().await {
-                error!(log, "operations not served"; "error" => fault.to_string());
+            if let Err(failure) = operations.serve().await {
+                error!(log, "operations not served"; "error" => failure.to_string());
             }
         }));
     }
 
-    fn spawn_serving(&mut self, control: Arc<UdpSocket>, streams: TcpListener) {
+    fn spawn_ingress(&mut self, control: Arc<UdpSocket>, streams: TcpListener) {
         let ingress = PacketIngress::new(Arc::clone(&self.agent), control);
         self.tasks.push(tokio::spawn(ingress.run()));
         let accepting = accept_streams(Arc::clone(&self.agent), streams);
         self.tasks.push(tokio::spawn(accepting));
     }
 
-    /// Takes callers' packets once a configuration is in force.
+    /// Accepts callers' packets once a configuration is in force.
     ///
-    /// Without one the agent does not know which routes are once-only, and a filing without a
-    /// ticket would run like any other request.
-    fn spawn_opening(&mut self) {
+    /// Without a configuration the agent does not know which routes are once-only, and a filing
+    /// without a ticket would run like any other request.
+    fn spawn_readiness(&mut self) {
         let agent = Arc::clone(&self.agent);
         let identity = self.identity.clone();
         self.tasks.push(tokio::spawn(async move {
             agent.fleet.clone().ready().await;
-            agent.drain.open();
+            agent.drain.accept_packets();
             if identity.phase() == ProcessPhase::Starting {
                 identity.set_phase(ProcessPhase::Serving);
             }
@@ -203,47 +206,48 @@
         }));
     }
 
-    /// Where the backend server calls its dependencies, once that is served.
+    /// The address at which the backend server calls its dependencies; `None` until it is bound.
     #[must_use]
     pub fn gateway_address(&self) -> Option<SocketAddrV4> {
         self.gateway.get().copied()
     }
 
-    /// How many peers of the service this agent has heard of.
+    /// The number of peers of the service whose reports this agent has received.
     #[must_use]
     pub fn peer_count(&self) -> usize {
         self.agent.fleet.peer_reports().len()
     }
 
-    /// All metrics as the operations address serves them.
+    /// All metrics in the text format that the operations server exports.
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] when a value cannot be written.
+    /// [`MetricsError`] when a value cannot be encoded.
     pub fn metrics_text(&self) -> Result<String, MetricsError> {
         self.metrics.to_text()
     }
 
-    /// Stops: takes no new work, lets what is under way end, hands the ledger to a peer.
+    /// Shuts down gracefully: accepts no new work, drains the work in progress, then hands the
+    /// ledger over to peers and closes all flows.
     ///
-    /// Ends at the latest after the drain limit of the settings.
+    /// The drain ends at the latest after the drain limit of the settings.
     pub async fn stop(&self) {
         let agent = &self.agent;
         let start = Instant::now();
         let limit = start + agent.settings.common.limits.drain;
         self.identity.set_phase(ProcessPhase::Leaving);
-        agent.leave(|causes| causes.stopping = true);
+        agent.update_leaving(|causes| causes.stopping = true);
         info!(agent.log, "agent stops"; "active" => agent.drain.active(),
             "flows" => agent.endpoints.open_flows());
-        let stay = limit.min(start + LEAST_STAY);
-        tokio::time::sleep_until(stay).await;
-        let feed_limit = limit - FEED_END_WAIT.min(agent.settings.common.limits.drain / 2);
-        if !agent.drain.wait_quiet(feed_limit).await {
-            agent.drain.end_feeds();
+        let earliest_end = limit.min(start + MIN_DRAIN_TIME);
+        tokio::time::sleep_until(earliest_end).await;
+        let feed_limit = limit - FEED_CLOSE_GRACE.min(agent.settings.common.limits.drain / 2);
+        if !agent.drain.wait_idle(feed_limit).await {
+            agent.drain.close_feeds();
         }
-        let quiet = agent.drain.wait_quiet(limit).await;
-        hand_over(agent).await;
-        agent.endpoints.close(CLOSE_WAIT).await;
+        let quiet = agent.drain.wait_idle(limit).await;
+        hand_over_ledger(agent).await;
+        agent.endpoints.close(FLOW_CLOSE_TIMEOUT).await;
         info!(agent.log, "agent stopped"; "quiet" => quiet, "active" => agent.drain.active(),
             "took_ms" => u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX));
     }
@@ -257,7 +261,7 @@
     }
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until it receives a stop signal. A second signal ends it without draining.
 ///
 /// # Errors
 ///
@@ -273,8 +277,8 @@
     }
     tokio::select! {
         () = running.stop() => {}
-        _ = stop.recv() => info!(log, "told to stop again: ends at once"),
-        _ = interrupt.recv() => info!(log, "told to stop again: ends at once"),
+        _ = stop.recv() => info!(log, "second stop signal: exiting without draining"),
+        _ = interrupt.recv() => info!(log, "second stop signal: exiting without draining"),
     }
     Ok(())
 }
--- a/bins/agent/src/relay/body.rs
+++ b/bins/agent/src/relay/body.rs
@@ -6,7 +6,7 @@
 use lovagelatch_domain::{AgentAddress, AttemptId};
 use lovagelatch_wire::RelayMessage;
 
-use crate::exchange::{BodyCut, PIECE_TIMEOUT};
+use crate::exchange::{BODY_CHUNK_TIMEOUT, TruncatedBody};
 use crate::relay::client::RelayPool;
 use crate::relay::stream::RelayStream;
 
@@ -45,26 +45,26 @@
         self
     }
 
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BodyCut> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         let Some(stream) = self.stream.as_mut() else {
             return Ok(None);
         };
         let message = if self.quiet_allowed {
             stream.receive().await
         } else {
-            let waiting = tokio::time::timeout(PIECE_TIMEOUT, stream.receive());
-            waiting.await.map_err(|_| BodyCut)?
+            let waiting = tokio::time::timeout(BODY_CHUNK_TIMEOUT, stream.receive());
+            waiting.await.map_err(|_| TruncatedBody)?
         };
         match message {
             Ok(RelayMessage::Chunk(piece)) => Ok(Some(Bytes::from(piece))),
             Ok(RelayMessage::End { attempt, load }) if attempt == self.attempt => {
-                self.pool.placement.reported(self.peer, load);
+                self.pool.placement.record_report(self.peer, load);
                 if let Some(stream) = self.stream.take() {
                     self.pool.put_back(self.peer, stream);
                 }
                 Ok(None)
             }
-            _ => Err(BodyCut),
+            _ => Err(TruncatedBody),
         }
     }
 }
--- a/bins/agent/src/relay/client.rs
+++ b/bins/agent/src/relay/client.rs
@@ -16,7 +16,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use crate::exchange::{Answer, AnswerBody, AttemptEnd, CallerRequest, Refusal};
+use crate::exchange::{AttemptOutcome, AttemptResponse, CallerRequest, Refusal, ResponseBody};
 use crate::headers;
 use crate::placement::SharedPlacement;
 use crate::relay::body::RelayBody;
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) enum RelayEnd {
     /// The peer had it, and this came of it.
-    Ended(AttemptEnd),
+    Ended(AttemptOutcome),
     /// It was never handed to the peer: no stream could be opened, or the stream is dead.
     NotHandedOver,
 }
@@ -55,9 +55,9 @@
     /// The word in the metrics.
     pub(crate) fn word(&self) -> &'static str {
         match self {
-            Self::Ended(AttemptEnd::Answered(_)) => "answered",
-            Self::Ended(AttemptEnd::NotRun(_)) => "refused",
-            Self::Ended(AttemptEnd::Unknown) => "unknown",
+            Self::Ended(AttemptOutcome::Answered(_)) => "answered",
+            Self::Ended(AttemptOutcome::NotRun(_)) => "refused",
+            Self::Ended(AttemptOutcome::Unknown) => "unknown",
             Self::NotHandedOver => "unreached",
         }
     }
@@ -118,7 +118,7 @@
         match tokio::time::timeout(limit, offering).await {
             Ok(Ok(Offer::Ready)) => {}
             Ok(Ok(Offer::Refused(refusal))) => {
-                return RelayEnd::Ended(AttemptEnd::NotRun(refusal));
+                return RelayEnd::Ended(AttemptOutcome::NotRun(refusal));
             }
             // The peer runs nothing before it has the end of the body.
             Ok(Err(_)) | Err(_) => return RelayEnd::NotHandedOver,
@@ -129,7 +129,7 @@
         };
         let limit = request.deadline + VERDICT_WAIT;
         let Ok(Ok(verdict)) = tokio::time::timeout_at(limit, exchange).await else {
-            return RelayEnd::Ended(AttemptEnd::Unknown);
+            return RelayEnd::Ended(AttemptOutcome::Unknown);
         };
         let quiet_allowed = request.is_feed();
         RelayEnd::Ended(self.conclude(peer, attempt, verdict, stream, quiet_allowed))
@@ -172,24 +172,24 @@
         verdict: Verdict,
         stream: RelayStream,
         quiet_allowed: bool,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         match verdict {
             Verdict::Refused(refusal, load) => {
-                self.placement.reported(peer, load);
+                self.placement.record_report(peer, load);
                 self.put_back(peer, stream);
-                AttemptEnd::NotRun(refusal)
+                AttemptOutcome::NotRun(refusal)
             }
             Verdict::Lost => {
                 self.put_back(peer, stream);
-                AttemptEnd::Unknown
+                AttemptOutcome::Unknown
             }
             Verdict::Head(status, headers) => {
                 let body = RelayBody::new(stream, peer, attempt, Arc::clone(self))
                     .with_quiet_allowed(quiet_allowed);
-                AttemptEnd::Answered(Answer {
+                AttemptOutcome::Answered(AttemptResponse {
                     status,
                     headers,
-                    body: AnswerBody::Relay(Box::new(body)),
+                    body: ResponseBody::Relay(Box::new(body)),
                 })
             }
         }
--- a/bins/agent/src/relay/server.rs
+++ b/bins/agent/src/relay/server.rs
@@ -13,10 +13,10 @@
 use tokio::time::Instant;
 
 use crate::agent::Agent;
-use crate::exchange::{Answer, AttemptEnd, CallerRequest, Refusal};
+use crate::exchange::{AttemptOutcome, AttemptResponse, CallerRequest, Refusal};
 use crate::headers;
 use crate::once::TICKET_PATH;
-use crate::path::plain_path;
+use crate::path::normalize_path;
 use crate::relay::stream::{RelayStream, StreamError};
 
 /// Serves a stream whose first frame is of kind `Relay`, one request after the other.
@@ -31,7 +31,7 @@
         let RelayMessage::Request(head) = message else {
             return;
         };
-        let _running = agent.drain.enter();
+        let _running = agent.drain.start_work();
         if serve_request(&agent, &mut stream, head).await.is_err() {
             return;
         }
@@ -79,13 +79,13 @@
     request: CallerRequest,
     attempt: AttemptId,
     ticket: Option<String>,
-) -> AttemptEnd {
-    if plain_path(&request.path) == TICKET_PATH {
+) -> AttemptOutcome {
+    if normalize_path(&request.path) == TICKET_PATH {
         return agent.answer_ticket();
     }
     match ticket {
         Some(ticket) => agent.file_at_home(&ticket, request, attempt).await,
-        None => agent.run_own(&request, attempt).await,
+        None => agent.run_at_local_gate(&request, attempt).await,
     }
 }
 
@@ -108,7 +108,7 @@
         .iter()
         .find(|field| headers::ATTEMPTS_LEFT == field.name.as_str());
     CallerRequest {
-        allowance: headers::allowance_of(attempts.map(|field| field.value.as_slice())),
+        allowance: headers::parse_allowance(attempts.map(|field| field.value.as_slice())),
         method: Method::from_bytes(head.method.as_bytes()).unwrap_or_default(),
         path: head.path,
         headers: headers::from_wire(&head.headers),
@@ -123,12 +123,12 @@
     agent: &Agent,
     stream: &mut RelayStream,
     attempt: AttemptId,
-    end: AttemptEnd,
+    end: AttemptOutcome,
 ) -> Result<(), StreamError> {
     match end {
-        AttemptEnd::Answered(answer) => send_answer(agent, stream, attempt, answer).await,
-        AttemptEnd::Unknown => stream.send(&RelayMessage::Lost(attempt)).await,
-        AttemptEnd::NotRun(refusal) => {
+        AttemptOutcome::Answered(answer) => send_answer(agent, stream, attempt, answer).await,
+        AttemptOutcome::Unknown => stream.send(&RelayMessage::Lost(attempt)).await,
+        AttemptOutcome::NotRun(refusal) => {
             let load = Some(agent.gate.report());
             send_refusal(stream, attempt, refusal, load).await
         }
@@ -155,7 +155,7 @@
     agent: &Agent,
     stream: &mut RelayStream,
     attempt: AttemptId,
-    mut answer: Answer,
+    mut answer: AttemptResponse,
 ) -> Result<(), StreamError> {
     let head = RelayHead {
         attempt,
--- a/bins/agent/src/reply.rs
+++ b/bins/agent/src/reply.rs
@@ -1,4 +1,4 @@
-//! What callers are told.
+//! Builds the heads of responses to callers.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use lovagelatch_domain::{RefusalReason, RequestOutcome};
 
 use crate::backend::text_value;
-use crate::exchange::{Answer, Refusal};
+use crate::exchange::{AttemptResponse, Refusal};
 use crate::headers;
 
-/// When to ask again with the ticket of a request that ended unknown: about the time in which a
-/// cut between two agents is noticed.
-const UNKNOWN_RETRY: Duration = Duration::from_secs(2);
+/// Retry-after for a request with a ticket that ended unknown: about the time it takes to detect
+/// a network partition between two agents.
+const UNKNOWN_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// The fields that every answer carries.
+/// Values of the header fields that every response carries.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ReplyTerms {
-    /// The agent's name.
+pub(crate) struct ReplyContext {
+    /// The agent's name, for the agent field.
     pub(crate) agent: String,
-    /// A fresh ticket, for services that have once-only routes.
+    /// A new ticket, for services that have once-only routes.
     pub(crate) ticket: Option<String>,
 }
 
-impl ReplyTerms {
+impl ReplyContext {
     fn add_to(&self, fields: &mut HeaderMap, outcome: &RequestOutcome) {
         fields.insert(headers::OUTCOME, text_value(outcome.header_value()));
         fields.insert(headers::AGENT, text_value(&self.agent));
@@ -31,16 +31,16 @@
         }
     }
 
-    /// The head of a backend server's answer.
-    pub(crate) fn done(&self, answer: &Answer) -> Response<()> {
+    /// The head of a backend server's response.
+    pub(crate) fn done(&self, received: &AttemptResponse) -> Response<()> {
         let mut response = Response::new(());
-        *response.status_mut() = answer.status;
-        *response.headers_mut() = answer.headers.clone();
+        *response.status_mut() = received.status;
+        *response.headers_mut() = received.headers.clone();
         self.add_to(response.headers_mut(), &RequestOutcome::Done);
         response
     }
 
-    /// A refusal: proof that nothing ran, and when to come back.
+    /// A refusal: proof that nothing ran, with a retry-after.
     pub(crate) fn not_run(&self, refusal: Refusal) -> Response<()> {
         let status = match refusal.reason {
             RefusalReason::TicketNeeded => StatusCode::PRECONDITION_REQUIRED,
@@ -49,7 +49,7 @@
         self.not_run_with(status, refusal)
     }
 
-    /// A refusal with a status of its own, for requests that are at fault themselves.
+    /// A refusal with an explicit status, for invalid requests.
     pub(crate) fn not_run_with(&self, status: StatusCode, refusal: Refusal) -> Response<()> {
         let mut response = Response::new(());
         *response.status_mut() = status;
@@ -65,9 +65,9 @@
         response
     }
 
-    /// It may have run. `late`: because its deadline passed, not because an answer was lost.
-    /// `ticketed`: it carried a ticket, so its caller may ask again with the same one, and is told
-    /// when; nothing else that ends unknown is safe to send again.
+    /// The request may have run. `late`: its deadline passed, rather than a response being lost.
+    /// `ticketed`: it carried a ticket, so the caller may safely retry with the same one and gets a
+    /// retry-after. Without a ticket a retry after an unknown outcome is not safe.
     pub(crate) fn unknown(&self, late: bool, ticketed: bool) -> Response<()> {
         let mut response = Response::new(());
         *response.status_mut() = if late {
@@ -77,7 +77,7 @@
         };
         let fields = response.headers_mut();
         if ticketed {
-            add_retry_after(fields, UNKNOWN_RETRY);
+            add_retry_after(fields, UNKNOWN_RETRY_AFTER);
         }
         fields.insert(header::CONTENT_LENGTH, text_value("0"));
         self.add_to(fields, &RequestOutcome::Unknown);
@@ -86,14 +86,14 @@
 }
 
 fn add_retry_after(fields: &mut HeaderMap, retry_after: Duration) {
-    let seconds = whole_seconds(retry_after).to_string();
+    let seconds = ceil_seconds(retry_after).to_string();
     fields.insert(header::RETRY_AFTER, text_value(&seconds));
     let millis = retry_after.as_millis().to_string();
     fields.insert(headers::RETRY_AFTER_MS, text_value(&millis));
 }
 
-/// Rounded up, so that nobody comes back too early.
-fn whole_seconds(duration: Duration) -> u64 {
-    let part = u64::from(duration.subsec_nanos() > 0);
-    duration.as_secs() + part
+/// Rounds up, so that callers do not retry too early.
+fn ceil_seconds(duration: Duration) -> u64 {
+    let fraction = u64::from(duration.subsec_nanos() > 0);
+    duration.as_secs() + fraction
 }
--- a/bins/agent/src/request.rs
+++ b/bins/agent/src/request.rs
@@ -1,4 +1,4 @@
-//! One request of a flow, from its head to the last byte of its answer.
+//! Serves one HTTP/3 request of a flow, from its head to the last byte of the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use crate::agent::Agent;
 use crate::backend::text_value;
 use crate::drain::wait_true;
-use crate::exchange::{Answer, AttemptEnd, CallerRequest, Refusal, new_attempt};
+use crate::exchange::{AttemptOutcome, AttemptResponse, CallerRequest, Refusal, new_attempt};
 use crate::feed::EventBoundary;
 use crate::headers;
-use crate::metrics::{OpenNote, RouteKind, reason_word};
+use crate::metrics::{OpenGuard, RouteKind, reason_label};
 use crate::once::{TICKET_PATH, ticket_answer};
-use crate::path::plain_path;
-use crate::reply::ReplyTerms;
+use crate::path::normalize_path;
+use crate::reply::ReplyContext;
 
-/// Paths that are the system's own. A caller that reached the backend server's control
-/// endpoints could cancel other callers' requests.
-const OWN_PATHS: &str = "/.well-known/lovagelatch";
+/// Prefix of the paths reserved for the load balancer. A caller that could reach the backend
+/// server's control endpoints could cancel other callers' requests.
+const RESERVED_PATHS: &str = "/.well-known/lovagelatch";
 
-/// Longest deadline that a caller may ask for.
+/// Maximum deadline that a caller may request.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
 type CallerStream = RequestStream<BidiStream<Bytes>, Bytes>;
@@ -37,17 +37,17 @@
 /// Why a request could not be read.
 #[derive(Debug, Error)]
 enum ReadError {
-    #[error("the caller's stream broke")]
+    #[error("caller's stream failed")]
     Stream(#[from] h3::error::StreamError),
-    #[error("the body is too long")]
+    #[error("request body too long")]
     TooLong,
-    #[error("the body is not as long as its content-length")]
+    #[error("request body does not match its content-length")]
     WrongLength,
-    #[error("the body did not come in time")]
+    #[error("request body not received before the deadline")]
     Late,
 }
 
-/// Serves one request. What went wrong on the caller's stream ends it.
+/// Serves one request. An error on the caller's stream ends it.
 pub(crate) async fn serve_request(
     agent: &Arc<Agent>,
     agency: Option<AgencyName>,
@@ -59,29 +59,33 @@
         return;
     };
     let arrived = Instant::now();
-    let deadline = arrived + deadline_of(agent, &head);
+    let deadline = arrived + requested_deadline(agent, &head);
     let attempt = new_attempt();
-    let mut terms = ReplyTerms {
+    let mut context = ReplyContext {
         agent: agent.settings.common.name.clone(),
         ticket: None,
     };
     let body = match read_body(agent, &head, &mut stream, deadline).await {
         Ok(body) => body,
-        Err(error) => return refuse_unread(agent, &terms, stream, &error).await,
+        Err(error) => return refuse_unreadable(agent, &context, stream, &error).await,
     };
-    let request = to_request(agency, head, body, (arrived, deadline));
+    let request = build_request(agency, head, body, (arrived, deadline));
     if agent.has_once_routes() && !request.is_feed() {
-        terms.ticket = agent.new_ticket();
+        context.ticket = agent.new_ticket();
     }
-    if plain_path(&request.path).starts_with(OWN_PATHS) {
-        return serve_own_path(agent, terms, &request, stream).await;
+    if normalize_path(&request.path).starts_with(RESERVED_PATHS) {
+        return serve_reserved_path(agent, context, &request, stream).await;
     }
-    let end = answer(agent, &request, attempt).await;
-    deliver(agent, &terms, &request, attempt, end, stream).await;
+    let outcome = run_request(agent, &request, attempt).await;
+    send_outcome(agent, &context, &request, attempt, outcome, stream).await;
 }
 
-/// Runs the request, as a once-only one where its route says so.
-async fn answer(agent: &Arc<Agent>, request: &CallerRequest, attempt: AttemptId) -> AttemptEnd {
+/// Runs the request, through the ledger if its route is once-only.
+async fn run_request(
+    agent: &Arc<Agent>,
+    request: &CallerRequest,
+    attempt: AttemptId,
+) -> AttemptOutcome {
     if !agent.is_once_only(&request.method, &request.path) {
         return agent.dispatch(request, attempt).await;
     }
@@ -90,10 +94,10 @@
     agent.file(key.as_deref(), request.clone(), attempt).await
 }
 
-fn deadline_of(agent: &Agent, head: &Request<()>) -> Duration {
-    let asked = headers::number_of(head.headers(), &headers::DEADLINE_MS);
-    let asked = asked.map(Duration::from_millis);
-    let limit = asked.unwrap_or(agent.settings.common.limits.request_deadline);
+fn requested_deadline(agent: &Agent, head: &Request<()>) -> Duration {
+    let requested = headers::parse_number(head.headers(), &headers::DEADLINE_MS);
+    let requested = requested.map(Duration::from_millis);
+    let limit = requested.unwrap_or(agent.settings.common.limits.request_deadline);
     limit.min(MAX_DEADLINE)
 }
 
@@ -107,7 +111,7 @@
     let reading = collect_body(stream, limit);
     let body = tokio::time::timeout_at(deadline, reading).await;
     let body = body.map_err(|_| ReadError::Late)??;
-    let length = headers::number_of(head.headers(), &header::CONTENT_LENGTH);
+    let length = headers::parse_number(head.headers(), &header::CONTENT_LENGTH);
     if length.is_some_and(|length| length != body.len() as u64) {
         return Err(ReadError::WrongLength);
     }
@@ -116,16 +120,16 @@
 
 async fn collect_body(stream: &mut CallerStream, limit: usize) -> Result<Bytes, ReadError> {
     let mut body = BytesMut::new();
-    while let Some(mut piece) = stream.recv_data().await? {
-        if body.len() + piece.remaining() > limit {
+    while let Some(mut chunk) = stream.recv_data().await? {
+        if body.len() + chunk.remaining() > limit {
             return Err(ReadError::TooLong);
         }
-        body.extend_from_slice(&piece.copy_to_bytes(piece.remaining()));
+        body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
     }
     Ok(body.freeze())
 }
 
-fn to_request(
+fn build_request(
     agency: Option<AgencyName>,
     head: Request<()>,
     body: Bytes,
@@ -135,7 +139,7 @@
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str()).to_owned();
     let mut fields = headers::end_to_end(&parts.headers);
-    // The library that writes the request to the backend server sets the length itself.
+    // The HTTP client sets the length when it sends the request to the backend server.
     fields.remove(header::CONTENT_LENGTH);
     if let Some(authority) = parts.uri.authority() {
         fields.insert(header::HOST, text_value(authority.as_str()));
@@ -152,9 +156,9 @@
     }
 }
 
-async fn refuse_unread(
+async fn refuse_unreadable(
     agent: &Agent,
-    terms: &ReplyTerms,
+    context: &ReplyContext,
     mut stream: CallerStream,
     error: &ReadError,
 ) {
@@ -171,55 +175,58 @@
         .count_request("not-run", RouteKind::Plain, Duration::ZERO);
     let refusal = Refusal::new(RefusalReason::TooLate, Duration::ZERO);
     stream.stop_sending(Code::H3_NO_ERROR);
-    send_head(stream, terms.not_run_with(status, refusal)).await;
+    send_head(stream, context.not_run_with(status, refusal)).await;
 }
 
-/// Answers for the system's own paths: a ticket alone, and nothing else.
-async fn serve_own_path(
+/// Serves the reserved paths: only the ticket endpoint exists for callers.
+async fn serve_reserved_path(
     agent: &Arc<Agent>,
-    mut terms: ReplyTerms,
+    mut context: ReplyContext,
     request: &CallerRequest,
     stream: CallerStream,
 ) {
-    let is_ticket = plain_path(&request.path) == TICKET_PATH && request.method == Method::GET;
+    let is_ticket = normalize_path(&request.path) == TICKET_PATH && request.method == Method::GET;
     if !is_ticket {
         let refusal = Refusal::new(RefusalReason::NoTarget, Duration::ZERO);
-        let response = terms.not_run_with(StatusCode::NOT_FOUND, refusal);
+        let response = context.not_run_with(StatusCode::NOT_FOUND, refusal);
         return send_head(stream, response).await;
     }
-    let end = match agent.fetch_ticket(request).await {
+    let outcome = match agent.fetch_ticket(request).await {
         Ok(ticket) => {
-            terms.ticket = Some(ticket.clone());
-            AttemptEnd::Answered(ticket_answer(&ticket))
+            context.ticket = Some(ticket.clone());
+            AttemptOutcome::Answered(ticket_answer(&ticket))
         }
-        Err(refusal) => AttemptEnd::NotRun(refusal),
+        Err(refusal) => AttemptOutcome::NotRun(refusal),
     };
-    deliver(agent, &terms, request, new_attempt(), end, stream).await;
+    send_outcome(agent, &context, request, new_attempt(), outcome, stream).await;
 }
 
-async fn deliver(
+/// Sends the outcome to the caller, then records and logs it.
+async fn send_outcome(
     agent: &Agent,
-    terms: &ReplyTerms,
+    context: &ReplyContext,
     request: &CallerRequest,
     attempt: AttemptId,
-    end: AttemptEnd,
+    outcome: AttemptOutcome,
     stream: CallerStream,
 ) {
-    let outcome = match end {
-        AttemptEnd::Answered(answer) => send_answer(agent, terms, answer, request, stream).await,
-        AttemptEnd::NotRun(refusal) => {
-            agent.metrics.refusals.count(reason_word(refusal.reason));
-            send_head(stream, terms.not_run(refusal)).await;
+    let outcome = match outcome {
+        AttemptOutcome::Answered(response) => {
+            send_response(agent, context, response, request, stream).await
+        }
+        AttemptOutcome::NotRun(refusal) => {
+            agent.metrics.refusals.count(reason_label(refusal.reason));
+            send_head(stream, context.not_run(refusal)).await;
             "not-run"
         }
-        AttemptEnd::Unknown => {
+        AttemptOutcome::Unknown => {
             let ticketed = request.headers.contains_key(headers::IDEMPOTENCY_KEY);
-            send_head(stream, terms.unknown(request.is_late(), ticketed)).await;
+            send_head(stream, context.unknown(request.is_late(), ticketed)).await;
             "unknown"
         }
     };
     let took = request.arrived.elapsed();
-    let route = route_of(agent, request);
+    let route = route_kind(agent, request);
     agent.metrics.count_request(outcome, route, took);
     info!(agent.log, "request ended"; "decision" => DecisionKind::RequestEnded,
         "attempt" => attempt.to_string(), "method" => request.method.as_str(),
@@ -227,8 +234,8 @@
         "took_ms" => u64::try_from(took.as_millis()).unwrap_or(u64::MAX));
 }
 
-fn route_of(agent: &Agent, request: &CallerRequest) -> RouteKind {
-    if plain_path(&request.path).starts_with(OWN_PATHS) {
+fn route_kind(agent: &Agent, request: &CallerRequest) -> RouteKind {
+    if normalize_path(&request.path).starts_with(RESERVED_PATHS) {
         RouteKind::System
     } else if agent.is_once_only(&request.method, &request.path) {
         RouteKind::Once
@@ -245,30 +252,30 @@
     }
 }
 
-/// Passes the answer through; returns the word for the log.
-async fn send_answer(
+/// Forwards the response to the caller. Returns the outcome's label for logs and metrics.
+async fn send_response(
     agent: &Agent,
-    terms: &ReplyTerms,
-    mut answer: Answer,
+    context: &ReplyContext,
+    mut response: AttemptResponse,
     request: &CallerRequest,
     mut stream: CallerStream,
 ) -> &'static str {
-    if stream.send_response(terms.done(&answer)).await.is_err() {
+    if stream.send_response(context.done(&response)).await.is_err() {
         return "caller-gone";
     }
-    let mut ending = agent.drain.watch_ending();
+    let mut closing = agent.drain.watch_feed_close();
     let mut boundary = EventBoundary::new();
     let is_feed = request.is_feed();
-    let _open = is_feed.then(|| OpenNote::new(&agent.metrics.feeds_open));
+    let _open = is_feed.then(|| OpenGuard::new(&agent.metrics.feeds_open));
     loop {
-        let piece = tokio::select! {
-            piece = answer.body.next() => piece,
-            () = wait_true(&mut ending), if is_feed && boundary.is_between() => Ok(None),
+        let chunk = tokio::select! {
+            chunk = response.body.next() => chunk,
+            () = wait_true(&mut closing), if is_feed && boundary.is_at_boundary() => Ok(None),
         };
-        match piece {
-            Ok(Some(piece)) => {
-                boundary.note(&piece);
-                if stream.send_data(piece).await.is_err() {
+        match chunk {
+            Ok(Some(chunk)) => {
+                boundary.scan(&chunk);
+                if stream.send_data(chunk).await.is_err() {
                     return "caller-gone";
                 }
             }
@@ -277,7 +284,7 @@
                 return "done";
             }
             Err(_) => {
-                // A clean end here would make half an answer look whole.
+                // A clean end here would make a truncated response look complete.
                 agent.metrics.answers.count("cut");
                 stream.stop_stream(Code::H3_INTERNAL_ERROR);
                 return "cut";
