--- a/bins/balancer/src/opaque/catalog.rs
+++ b/bins/balancer/src/opaque/catalog.rs
@@ -1,4 +1,4 @@
-//! Keeping the catalog: gossip with other balancers, calls to the store, new views.
+//! Keeps the catalog up to date: gossip with other balancers, calls to the store, new views.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -20,74 +20,74 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::MissedTickBehavior;
 
-use super::count::StoreCounts;
-use super::coverage::CoverageWatch;
+use super::coverage::CoverageLog;
+use super::metrics::StoreCallCounts;
 use super::packets::PacketState;
-use super::zones::ZoneWatch;
+use super::zones::ZoneTracker;
 
-/// The largest datagram sent; a longer answer goes by stream.
-const DATAGRAM_LIMIT: usize = 1_200;
+/// Maximum length of a datagram that is sent; longer answers go by stream.
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// The largest message by stream: a whole catalog at the size the system is built for.
-const STREAM_LIMIT: usize = 32 * 1024 * 1024;
+/// Maximum length of a message by stream: a full catalog of the largest supported size.
+const MAX_STREAM_BYTES: usize = 32 * 1024 * 1024;
 
-/// How long an exchange by stream may take. The next ask takes another way if it fails.
+/// Timeout of an exchange by stream. If it fails, the next ask takes another path.
 const STREAM_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Calls that may wait for the task that makes them; there is one at a time.
-const CALL_QUEUE: usize = 4;
+/// Capacity of the queue of store calls; calls are made one at a time.
+const CALL_QUEUE_LENGTH: usize = 4;
 
-/// What the control tasks of a balancer share.
+/// State shared by the control tasks of a balancer.
 pub(crate) struct CatalogState {
     pub(crate) member: Mutex<CatalogMember>,
     pub(crate) builder: Mutex<FlowViewBuilder>,
     pub(crate) packets: Arc<PacketState>,
     pub(crate) ready: ReadyFlag,
-    pub(crate) calls: StoreCounts,
-    pub(crate) coverage: Mutex<CoverageWatch>,
-    pub(crate) zones: Mutex<ZoneWatch>,
+    pub(crate) calls: StoreCallCounts,
+    pub(crate) coverage: Mutex<CoverageLog>,
+    pub(crate) zones: Mutex<ZoneTracker>,
     pub(crate) log: Logger,
 }
 
-/// Starts the tasks that keep the catalog.
+/// Starts the tasks that keep the catalog up to date.
 pub(crate) fn start_catalog(
     state: CatalogState,
     socket: UdpSocket,
     listener: TcpListener,
     store: SocketAddrV4,
 ) -> Arc<CatalogTasks> {
-    let (calls, queue) = mpsc::channel(CALL_QUEUE);
+    let (calls, queue) = mpsc::channel(CALL_QUEUE_LENGTH);
     let tasks = Arc::new(CatalogTasks {
         state,
         socket,
         calls,
-        answered: Notify::new(),
+        due_changed: Notify::new(),
     });
-    tokio::spawn(make_calls(Arc::clone(&tasks), queue, store));
-    tokio::spawn(take_datagrams(Arc::clone(&tasks)));
-    tokio::spawn(take_streams(Arc::clone(&tasks), listener));
+    tokio::spawn(make_store_calls(Arc::clone(&tasks), queue, store));
+    tokio::spawn(receive_datagrams(Arc::clone(&tasks)));
+    tokio::spawn(accept_streams(Arc::clone(&tasks), listener));
     tokio::spawn(tick(Arc::clone(&tasks)));
     tasks
 }
 
-/// Carries out what the member wants.
+/// Executes the actions requested by the catalog member.
 pub(crate) struct CatalogTasks {
     pub(crate) state: CatalogState,
     socket: UdpSocket,
     calls: mpsc::Sender<StoreCall>,
-    /// Wakes whoever waits for the member's next due moment.
-    answered: Notify,
+    /// Signals that the member's next due time may have changed.
+    due_changed: Notify,
 }
 
 impl CatalogTasks {
-    /// Tells the other balancers that this one is stopping.
+    /// Announces to the other balancers that this one is leaving.
     pub(crate) fn set_leaving(self: &Arc<Self>) {
         let now = self.state.packets.clock.now();
         let actions = self.state.member.lock().set_leaving(now);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    /// Lets time pass for the member.
+    /// Advances the member to the current time and executes the resulting actions.
     fn advance(self: &Arc<Self>) {
         let now = self.state.packets.clock.now();
         let stops = self.state.packets.balancer.direct_stops(now);
@@ -95,13 +95,13 @@
         member.record_stops(&stops, now);
         let actions = member.advance(now);
         drop(member);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn accept(self: &Arc<Self>, message: CatalogMessage) {
         let now = self.state.packets.clock.now();
         let actions = self.state.member.lock().accept(message, now);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn store_answered(
@@ -111,22 +111,22 @@
     ) {
         let now = self.state.packets.clock.now();
         let actions = self.state.member.lock().store_answered(call, outcome, now);
-        self.carry_out(actions);
-        self.answered.notify_one();
+        self.execute(actions);
+        self.due_changed.notify_one();
     }
 
-    fn carry_out(self: &Arc<Self>, actions: Vec<CatalogAction>) {
-        let ready = self.brief_builder();
+    fn execute(self: &Arc<Self>, actions: Vec<CatalogAction>) {
+        let ready = self.update_builder();
         for action in actions {
             match action {
                 CatalogAction::Send { to, message } => self.send(to, &message),
                 CatalogAction::AskByStream { to, ask } => {
                     tokio::spawn(ask_by_stream(Arc::clone(self), to, ask));
                 }
-                // Full only if a call is made while several wait, which the member never does.
+                // The queue cannot fill up: the member has at most one call in flight.
                 CatalogAction::Call(call) => {
                     if self.calls.try_send(call).is_err() {
-                        warn!(self.state.log, "store call not made: the queue is full");
+                        warn!(self.state.log, "store call dropped: queue is full");
                     }
                 }
                 CatalogAction::Publish { catalog, changes } => {
@@ -137,64 +137,66 @@
                     drop(builder);
                     for zone in without_region {
                         warn!(self.state.log,
-                            "zone without a region: no flows of routes that are bound to regions";
+                            "zone has no region: it gets no flows of routes restricted to regions";
                             "zone" => zone.as_str().to_owned());
                     }
                     self.publish();
-                    self.note_zones(&catalog, now);
+                    self.record_zones(&catalog, now);
                 }
-                CatalogAction::RecordStops(stops) => self.take_stops(&stops),
+                CatalogAction::RecordStops(stops) => self.record_stops(&stops),
                 CatalogAction::Notice(notice) => log_notice(&self.state.log, &notice),
             }
         }
         if ready {
-            self.tell_routers();
+            self.update_readiness();
         }
         self.publish_if_due();
     }
 
-    /// Tells the builder what the member knows besides the catalog, as what speaks against taking its next
-    /// view for complete; returns whether the member is ready. Before a view is published: one that seemed complete for a moment would
-    /// let a search prove what it cannot.
-    fn brief_builder(&self) -> bool {
+    /// Passes the member's state to the view builder, which derives from it whether the next view
+    /// is complete. Returns whether the member is ready.
+    ///
+    /// Must run before a view is published: if a view were wrongly complete even for a moment, a
+    /// search could conclude that a flow is lost when it is not.
+    fn update_builder(&self) -> bool {
         let now = self.state.packets.clock.now();
         let member = self.state.member.lock();
-        let (ready, trouble) = (member.is_ready(), member.last_store_failure());
+        let (ready, last_failure) = (member.is_ready(), member.last_store_failure());
         let informed = member.is_informed(now);
-        let returned = member.store_recovered_at();
-        let zones_since = member.zones_read_at();
-        let stops_since = member.stops_known_since();
+        let recovered_at = member.store_recovered_at();
+        let zones_read_at = member.zones_read_at();
+        let stops_known_since = member.stops_known_since();
         let cut_off = member.is_cut_off(now);
         drop(member);
         self.state
             .packets
             .balancer
-            .set_stops_known_since(stops_since);
+            .set_stops_known_since(stops_known_since);
         let mut builder = self.state.builder.lock();
         builder.set_informed(informed);
-        builder.set_store_recovered_at(returned);
-        builder.set_zones_read_at(zones_since);
+        builder.set_store_recovered_at(recovered_at);
+        builder.set_zones_read_at(zones_read_at);
         if cut_off != builder.is_cut_off() {
             builder.set_cut_off(cut_off);
             info!(self.state.log, "touch with the fleet changed";
                 "decision" => DecisionKind::ZoneChanged, "cut_off" => cut_off);
         }
-        if let Some(at) = trouble {
+        if let Some(at) = last_failure {
             builder.record_store_failure(at);
         }
         ready
     }
 
-    fn note_zones(&self, catalog: &Catalog, now: Moment) {
-        let told = self.state.member.lock().zones_read_at();
+    fn record_zones(&self, catalog: &Catalog, now: Moment) {
+        let read_at = self.state.member.lock().zones_read_at();
         let mut zones = self.state.zones.lock();
-        zones.note(catalog, told, now, &self.state.log);
+        zones.record(catalog, read_at, now, &self.state.log);
     }
 
-    fn take_stops(&self, stops: &[AgentStop]) {
+    fn record_stops(&self, stops: &[AgentStop]) {
         let now = self.state.packets.clock.now();
         self.state.packets.balancer.record_stops(stops, now);
-        // One line a message: a fleet that is restarted in turn names many agents.
+        // One line per message: a rolling restart of the fleet announces many agents.
         if let Some(first) = stops.first() {
             info!(self.state.log, "agents stop, by another balancer";
                 "decision" => DecisionKind::LeavingSeen,
@@ -204,8 +206,8 @@
         }
     }
 
-    /// Says whether routers may send packets here.
-    fn tell_routers(&self) {
+    /// Updates the readiness that routers poll before they send packets here.
+    fn update_readiness(&self) {
         let now = self.state.packets.clock.now();
         let leaving = self.state.packets.leaving.load(Ordering::Relaxed);
         let isolated = self.state.packets.balancer.is_isolated(now);
@@ -217,16 +219,16 @@
         }
     }
 
-    /// Publishes another view when the passing of time, or trouble of the store, changes it.
+    /// Publishes a new view if the passing of time or a store failure has changed it.
     fn publish_if_due(&self) {
         let now = self.state.packets.clock.now();
         let builder = self.state.builder.lock();
-        let ended = builder.next_target_expiry().is_some_and(|end| end <= now);
+        let expired = builder.next_target_expiry().is_some_and(|end| end <= now);
         let coverage = builder.coverage(now);
         let cut_off = builder.is_cut_off();
         drop(builder);
         let view = self.state.packets.view.load();
-        if ended || coverage != view.coverage || cut_off != view.zones.cut_off {
+        if expired || coverage != view.coverage || cut_off != view.zones.cut_off {
             self.publish();
         }
     }
@@ -234,23 +236,26 @@
     fn publish(&self) {
         let now = self.state.packets.clock.now();
         let view = self.state.builder.lock().build(now);
-        self.state.coverage.lock().note(&view, now, &self.state.log);
+        self.state
+            .coverage
+            .lock()
+            .record(&view, now, &self.state.log);
         self.state.packets.view.store(Arc::new(view));
     }
 
     fn send(&self, to: SocketAddrV4, message: &CatalogMessage) {
         let bytes = encode(message);
-        let bytes = if bytes.len() > DATAGRAM_LIMIT {
-            let sender = self.own();
+        let bytes = if bytes.len() > MAX_DATAGRAM_BYTES {
+            let sender = self.own_address();
             encode(&CatalogMessage::TooLarge { sender })
         } else {
             bytes
         };
-        // A full buffer or an unreachable peer is a lost datagram; the next head repeats it.
+        // A failed send is treated as a lost datagram; the next head repeats the information.
         let _sent = self.socket.try_send_to(&bytes, to.into());
     }
 
-    fn own(&self) -> SocketAddrV4 {
+    fn own_address(&self) -> SocketAddrV4 {
         match self.socket.local_addr() {
             Ok(std::net::SocketAddr::V4(address)) => address,
             _ => SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0),
@@ -259,12 +264,11 @@
 }
 
 fn encode(message: &CatalogMessage) -> Vec<u8> {
-    // Writing into a vector cannot fail, and every type here can be written.
+    // Serialization into a vector cannot fail for these types.
     postcard::to_stdvec(message).unwrap_or_default()
 }
 
-/// Lets time pass for the member and for the view: at each tick, and when the member has something to
-/// do before the next one.
+/// Advances the member and the view at each tick, and earlier when the member has something due.
 async fn tick(tasks: Arc<CatalogTasks>) {
     let mut interval = tokio::time::interval(MEMBER_TICK);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -273,7 +277,7 @@
             _ = interval.tick() => {
                 let now = tasks.state.packets.clock.now();
                 let idle = tasks.state.packets.view.load().idle_timeout;
-                tasks.state.packets.balancer.expire_idle(idle.max(MIN_IDLE), now);
+                tasks.state.packets.balancer.expire_idle(idle.max(MIN_IDLE_TIMEOUT), now);
             }
             () = wait_for_due(&tasks) => {}
         }
@@ -281,32 +285,32 @@
     }
 }
 
-/// Waits until the member has something to do, or the view changes by itself; what comes first may change
-/// with an answer of the store.
+/// Waits until the member has something due or the view changes by the passing of time. The due
+/// time is recomputed after each answer of the store.
 async fn wait_for_due(tasks: &CatalogTasks) {
     loop {
         let now = tasks.state.packets.clock.now();
         let due = tasks.state.member.lock().next_due(now);
         let change = tasks.state.builder.lock().next_change(now);
         let Some(due) = due.into_iter().chain(change).min() else {
-            tasks.answered.notified().await;
+            tasks.due_changed.notified().await;
             continue;
         };
         tokio::select! {
             () = tokio::time::sleep(due.since(now)) => return,
-            () = tasks.answered.notified() => {}
+            () = tasks.due_changed.notified() => {}
         }
     }
 }
 
-/// Flows are remembered at least this long, whatever the configuration says: a value of 0 would
-/// forget every flow between two of its packets.
-const MIN_IDLE: Duration = Duration::from_secs(5);
+/// Minimum idle timeout of flows, whatever is configured: with a value of 0, every flow would be
+/// forgotten between two of its packets.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-async fn take_datagrams(tasks: Arc<CatalogTasks>) {
-    let mut buffer = vec![0; 2 * DATAGRAM_LIMIT];
+async fn receive_datagrams(tasks: Arc<CatalogTasks>) {
+    let mut buffer = vec![0; 2 * MAX_DATAGRAM_BYTES];
     loop {
-        // An error is the network's answer to something this socket sent; it says nothing here.
+        // An ICMP error for an earlier datagram of this socket; not fatal.
         let Ok((length, _)) = tasks.socket.recv_from(&mut buffer).await else {
             continue;
         };
@@ -316,7 +320,7 @@
     }
 }
 
-async fn make_calls(
+async fn make_store_calls(
     tasks: Arc<CatalogTasks>,
     mut queue: mpsc::Receiver<StoreCall>,
     address: SocketAddrV4,
@@ -336,7 +340,7 @@
     let exchange = async {
         let mut stream = TcpStream::connect(to).await?;
         write_frame(&mut stream, &encode(&ask)).await?;
-        read_frame(&mut stream, STREAM_LIMIT).await
+        read_frame(&mut stream, MAX_STREAM_BYTES).await
     };
     match tokio::time::timeout(STREAM_TIMEOUT, exchange).await {
         Ok(Ok(Some(frame))) => {
@@ -344,25 +348,25 @@
                 tasks.accept(message);
             }
         }
-        _ => info!(tasks.state.log, "catalog not had by stream"; "balancer" => to.to_string()),
+        _ => info!(tasks.state.log, "catalog not received by stream"; "balancer" => to.to_string()),
     }
 }
 
-async fn take_streams(tasks: Arc<CatalogTasks>, listener: TcpListener) {
+async fn accept_streams(tasks: Arc<CatalogTasks>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let answer = answer_stream(Arc::clone(&tasks), stream);
+                let answer = serve_stream(Arc::clone(&tasks), stream);
                 tokio::spawn(tokio::time::timeout(STREAM_TIMEOUT, answer));
             }
-            // A shortage of descriptors passes; without a pause it would be met in a loop.
+            // Back off: a temporary shortage of file descriptors must not cause a busy loop.
             Err(_) => tokio::time::sleep(MEMBER_TICK).await,
         }
     }
 }
 
-async fn answer_stream(tasks: Arc<CatalogTasks>, mut stream: TcpStream) -> std::io::Result<()> {
-    let Some(frame) = read_frame(&mut stream, DATAGRAM_LIMIT).await? else {
+async fn serve_stream(tasks: Arc<CatalogTasks>, mut stream: TcpStream) -> std::io::Result<()> {
+    let Some(frame) = read_frame(&mut stream, MAX_DATAGRAM_BYTES).await? else {
         return Ok(());
     };
     let Ok(CatalogMessage::Ask { head, .. }) = postcard::from_bytes(&frame) else {
@@ -379,7 +383,7 @@
             head,
             version,
             from,
-        } => info!(log, "catalog taken";
+        } => info!(log, "catalog applied";
             "decision" => DecisionKind::ConfigTaken,
             "version" => version.0,
             "routes_revision" => head.routes.revision,
@@ -387,11 +391,11 @@
             "from" => from.map_or_else(|| "store".to_owned(), |peer| peer.to_string())),
         CatalogNotice::Refused(error) => warn!(log, "catalog change refused";
             "decision" => DecisionKind::ConfigRefused, "error" => error.to_string()),
-        CatalogNotice::Conflict(peer) => warn!(log, "another content of the same revision";
+        CatalogNotice::Conflict(peer) => warn!(log, "same revision with different content";
             "decision" => DecisionKind::ConfigRefused, "balancer" => peer.to_string()),
-        CatalogNotice::StoreFailed(failure) => warn!(log, "store lost";
+        CatalogNotice::StoreFailed(failure) => warn!(log, "store unavailable";
             "reason" => format!("{failure:?}")),
-        CatalogNotice::StoreRecovered => info!(log, "store regained"),
-        CatalogNotice::Members(members) => info!(log, "balancers known"; "members" => members),
+        CatalogNotice::StoreRecovered => info!(log, "store available again"),
+        CatalogNotice::Members(members) => info!(log, "balancers changed"; "members" => members),
     }
 }
--- a/bins/balancer/src/opaque/notice.rs
+++ b/bins/balancer/src/opaque/decision_log.rs
@@ -1,4 +1,4 @@
-//! Decision lines of the packet path, bounded in rate.
+//! Rate-limited log lines for decisions of the packet path.
 
 use std::time::Instant;
 
@@ -7,17 +7,17 @@
 };
 use lovagelatch_telemetry::{DecisionKind, LineBudget, Logger, info, warn};
 
-/// Lines about new flows a second. A balancer of today's users sees about 20 new flows a second;
+/// Limit on lines about new flows. A balancer of current users sees about 20 new flows per second;
 /// a line costs about as much as a packet.
-const PLACED_LINES: u32 = 100;
+const PLACED_LINES_PER_SECOND: u32 = 100;
 
-/// Lines about refused packets a second: anybody can send those.
-const REFUSED_LINES: u32 = 20;
+/// Limit on lines about refused packets, which anyone can send.
+const REFUSED_LINES_PER_SECOND: u32 = 20;
 
-/// Lines about searches a second. Every flow is searched for when a balancer starts.
-const SEARCH_LINES: u32 = 20;
+/// Limit on lines about searches. When a balancer starts, every flow is searched for.
+const SEARCH_LINES_PER_SECOND: u32 = 20;
 
-/// Writes the packet thread's decision lines.
+/// Writes the decision lines of the packet thread.
 pub(crate) struct DecisionLog {
     log: Logger,
     placed: LineBudget,
@@ -30,10 +30,10 @@
     pub(crate) fn new(log: Logger) -> Self {
         Self {
             log,
-            placed: LineBudget::new(PLACED_LINES),
-            refused: LineBudget::new(REFUSED_LINES),
-            searched: LineBudget::new(SEARCH_LINES),
-            lost: LineBudget::new(SEARCH_LINES),
+            placed: LineBudget::new(PLACED_LINES_PER_SECOND),
+            refused: LineBudget::new(REFUSED_LINES_PER_SECOND),
+            searched: LineBudget::new(SEARCH_LINES_PER_SECOND),
+            lost: LineBudget::new(SEARCH_LINES_PER_SECOND),
         }
     }
 
@@ -92,7 +92,7 @@
             return;
         };
         let reason = match reset.reason {
-            LossReason::Unheld => "nobody holds it",
+            LossReason::Unheld => "no agent holds it",
             LossReason::TargetGone => "target gone",
             LossReason::AgentSilent => "agent silent",
         };
@@ -113,7 +113,7 @@
             "decision" => DecisionKind::FlowSearched,
             "client" => flow.client.to_string(),
             "address" => flow.service_address.to_string(),
-            "reason" => "more agents than one search may ask",
+            "reason" => "too many agents for one search",
             "agents" => holders,
             "version" => view.version.0,
             "left_out" => left_out);
--- a/bins/balancer/src/opaque/count.rs
+++ b/bins/balancer/src/opaque/metrics.rs
@@ -1,22 +1,22 @@
-//! What a balancer of opaque packets counts.
+//! Metrics of the balancer for opaque packets.
 
 use lovagelatch_catalog::StoreFailure;
 use lovagelatch_telemetry::{DURATION_BOUNDS, EventCounts, EventOutcome, Histogram, Meter};
 
-/// What became of a datagram.
+/// Outcome of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PacketOutcome {
-    /// A flow's first packet was offered to an agent.
+    /// The first packet of a flow was offered to an agent.
     Offered,
-    /// An offer was not answered in time and was made to another agent.
+    /// An offer timed out and was made to another agent.
     OfferedAgain,
-    /// A packet went to the agent that holds its flow.
+    /// A packet was forwarded to the agent that holds its flow.
     Forwarded,
-    /// A packet went through another agent as well, because its own is silent.
+    /// A packet was also sent through another agent, because the flow's agent is silent.
     Relayed,
-    /// A packet of an unknown flow began its walk.
+    /// A search for the flow of a packet was sent to agents.
     Searched,
-    /// A search ended because it would have had to ask too many agents.
+    /// A search was abandoned because it would have had to query too many agents.
     SearchAbandoned,
     /// A first packet without a route was answered with a reset.
     ResetNoRoute,
@@ -24,17 +24,17 @@
     ResetNoTarget,
     /// A first packet whose targets are in evacuated zones was answered with a reset.
     ResetEvacuated,
-    /// A flow that was lost with its target was ended with a reset.
+    /// A flow that was lost with its target was reset.
     ResetLost,
-    /// An agent was told whether its zone is evacuated.
+    /// An agent was notified whether its zone is evacuated.
     ZoneTold,
-    /// Nobody could be asked about a packet.
+    /// A packet was dropped: no agent to query, or too many packets held.
     Dropped,
-    /// A datagram was no packet.
+    /// A caller's datagram was not a valid packet.
     Malformed,
-    /// A datagram between processes was no frame, or none for a balancer.
+    /// A datagram of another process was not a valid frame for a balancer.
     BadFrame,
-    /// The system refused to send.
+    /// The operating system failed to send.
     NotSent,
 }
 
@@ -82,14 +82,14 @@
     }
 }
 
-/// The balancer's packet counters.
+/// Packet counters by outcome.
 pub(crate) type PacketCounts = EventCounts<PacketOutcome>;
 
-/// What the packet path measures.
+/// Metrics of the packet path.
 #[derive(Clone, Debug)]
 pub(crate) struct PacketMetrics {
     pub(crate) packets: PacketCounts,
-    /// From a flow's first offer to its target's answer.
+    /// Time from a flow's first offer to its target's answer.
     pub(crate) answer_duration: Histogram<f64>,
 }
 
@@ -108,11 +108,11 @@
     }
 }
 
-/// What the control tasks measure.
+/// Counters of store calls by outcome.
 #[derive(Clone, Debug)]
-pub(crate) struct StoreCounts(EventCounts<StoreOutcome>);
+pub(crate) struct StoreCallCounts(EventCounts<StoreOutcome>);
 
-impl StoreCounts {
+impl StoreCallCounts {
     pub(crate) fn new(meter: &Meter) -> Self {
         Self(EventCounts::new(
             meter,
@@ -132,7 +132,7 @@
     }
 }
 
-/// How a call to the store ended.
+/// Outcome of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StoreOutcome {
     Answered,
@@ -163,8 +163,8 @@
     }
 }
 
-/// From the moment at which a change of the evacuated zones was read from the store, by whoever read it first,
-/// until it is in force in this process.
+/// Creates the histogram of the time from when a change of the evacuated zones was first read from
+/// the store, by any balancer, until it is in force in this process.
 pub(crate) fn zone_delay(meter: &Meter) -> Histogram<f64> {
     meter
         .f64_histogram("lovagelatch.balancer.zone_change.delay")
--- a/bins/balancer/src/opaque/mod.rs
+++ b/bins/balancer/src/opaque/mod.rs
@@ -1,10 +1,10 @@
-//! A balancer of opaque packets.
+//! Balancer for opaque packets.
 //!
 //! ```text
 //! router --> packet thread --frames--> agents
-//!               ^   ^ notes, load
+//!               ^   ^ flow updates, load reports
 //!               |   +--- FlowBalancer (sharded, each shard under its own lock)
-//!            FlowView (swapped whole)
+//!            FlowView (swapped atomically)
 //!               ^
 //!            control tasks <--gossip--> other balancers
 //!                  ^ calls
@@ -12,9 +12,9 @@
 //! ```
 
 mod catalog;
-mod count;
 mod coverage;
-mod notice;
+mod decision_log;
+mod metrics;
 mod packets;
 mod process;
 mod zones;
@@ -23,7 +23,7 @@
 
 pub use process::run_opaque;
 
-/// Whole milliseconds, for logs and status.
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+/// Converts a duration to whole milliseconds, for logs and status.
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/bins/balancer/src/opaque/packets.rs
+++ b/bins/balancer/src/opaque/packets.rs
@@ -1,4 +1,4 @@
-//! The packet thread: callers' packets in, frames to agents out.
+//! Packet thread: receives callers' packets and sends frames to agents.
 
 use std::io;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -17,49 +17,50 @@
 };
 use lovagelatch_network::{BUFFER_BYTES, ReceiveBatch, SendBatch, wait_readable};
 
-use super::count::{PacketCounts, PacketMetrics, PacketOutcome};
-use super::notice::DecisionLog;
+use super::decision_log::DecisionLog;
+use super::metrics::{PacketCounts, PacketMetrics, PacketOutcome};
 
-/// Longest wait for a packet, after which the thread looks whether to end.
-const IDLE_WAIT: Duration = Duration::from_millis(500);
+/// Maximum wait for a packet, after which the thread checks whether to exit.
+const IDLE_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The same while packets are held until a configuration is known.
-const HELD_WAIT: Duration = Duration::from_millis(10);
+/// Maximum wait while packets are held until a configuration is known.
+const HELD_POLL_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// How long a packet is worth keeping: clients give up opening a flow after 1.4 s, and a flow that
-/// opens after that costs its target a connection for nobody.
-const HELD_SPAN: Duration = Duration::from_millis(1_200);
+/// Lifetime of a held packet. Clients give up opening a flow after 1.4 s; a flow that opens later
+/// would cost its target a connection that no client uses.
+const HELD_PACKET_TTL: Duration = Duration::from_millis(1_200);
 
-/// How often it looks for flows that were lost with their targets.
-const LOSS_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval at which the thread checks for flows that were lost with their targets.
+const LOSS_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Packets kept while no configuration is known; a few hundred clients send some each.
-const MAX_HELD: usize = 1_024;
+/// Maximum number of packets held while no configuration is known: a few hundred clients send
+/// several packets each.
+const MAX_HELD_PACKETS: usize = 1_024;
 
-/// What the packet thread shares with the control tasks.
+/// State shared by the packet thread and the control tasks.
 pub(crate) struct PacketState {
     pub(crate) balancer: FlowBalancer,
     pub(crate) view: ArcSwap<FlowView>,
-    /// Callers' packets read so far, by which a stop sees that nothing arrives any more.
+    /// Number of callers' packets read so far. The drain ends when it no longer grows.
     pub(crate) received: AtomicU64,
-    /// Whether the process has been told to stop: it goes on forwarding, but is ready no more.
+    /// Whether the process is stopping: it keeps forwarding but is no longer ready.
     pub(crate) leaving: AtomicBool,
-    /// Tells the thread to end.
-    pub(crate) ended: AtomicBool,
+    /// Set to make the packet thread exit.
+    pub(crate) shutdown: AtomicBool,
     pub(crate) clock: ProcessClock,
 }
 
 /// The sockets of the packet path.
 pub(crate) struct PacketSockets {
-    /// Callers' packets.
+    /// Receives callers' packets.
     pub(crate) clients: UdpSocket,
-    /// Frames of other processes.
+    /// Exchanges frames with other processes and sends resets to callers.
     pub(crate) frames: UdpSocket,
-    /// The port at which every caller takes packets.
+    /// Port at which every caller receives packets.
     pub(crate) client_port: u16,
 }
 
-/// One packet thread.
+/// Processes the packets and frames of a balancer on one thread.
 pub(crate) struct PacketThread {
     state: Arc<PacketState>,
     sockets: PacketSockets,
@@ -69,7 +70,7 @@
     metrics: PacketMetrics,
     log: DecisionLog,
     next_loss_check: Moment,
-    /// Packets that came before a configuration was known, with when.
+    /// Packets received before a configuration was known, with their arrival times.
     held: Vec<(Moment, Vec<u8>)>,
 }
 
@@ -93,41 +94,41 @@
         }
     }
 
-    /// Carries packets until the state says to end.
+    /// Processes packets until `shutdown` is set.
     pub(crate) fn run(&mut self) -> io::Result<()> {
-        while !self.state.ended.load(Ordering::Relaxed) {
-            let wait = self.next_wait();
+        while !self.state.shutdown.load(Ordering::Relaxed) {
+            let timeout = self.next_timeout();
             let sockets = [&self.sockets.clients, &self.sockets.frames];
-            let [clients, frames] = wait_readable(sockets, wait)?;
+            let [clients, frames] = wait_readable(sockets, timeout)?;
             let view = self.state.view.load_full();
-            self.take_held(&view);
-            // Notes first: they tell where the packets behind them go.
+            self.release_held(&view);
+            // Frames first: flow updates determine where later packets go.
             if frames {
-                self.take_frames(&view)?;
+                self.receive_frames(&view)?;
             }
             if clients {
-                self.take_packets(&view)?;
+                self.receive_packets(&view)?;
             }
-            self.make_due_offers(&view);
-            self.go_on_searching(&view);
-            self.end_lost_flows(&view);
+            self.retry_offers(&view);
+            self.advance_searches(&view);
+            self.reset_lost_flows(&view);
             self.flush();
         }
         Ok(())
     }
 
-    fn next_wait(&self) -> Duration {
+    fn next_timeout(&self) -> Duration {
         let due = self.state.balancer.next_due();
         let wait = due.map(|due| due.since(self.state.clock.now()));
         let limit = if self.held.is_empty() {
-            IDLE_WAIT
+            IDLE_POLL_TIMEOUT
         } else {
-            HELD_WAIT
+            HELD_POLL_TIMEOUT
         };
         wait.map_or(limit, |wait| wait.min(limit))
     }
 
-    fn take_packets(&mut self, view: &FlowView) -> io::Result<()> {
+    fn receive_packets(&mut self, view: &FlowView) -> io::Result<()> {
         let count = self.receiving.receive_some(&self.sockets.clients)?;
         self.state
             .received
@@ -136,60 +137,60 @@
         for index in 0..count {
             let mut bytes = [0; BUFFER_BYTES];
             let length = self.receiving.datagram(index).copy_to(&mut bytes);
-            self.take_packet(&bytes[..length], view, now);
+            self.handle_packet(&bytes[..length], view, now);
         }
         Ok(())
     }
 
-    fn take_packet(&mut self, bytes: &[u8], view: &FlowView, now: Moment) {
+    fn handle_packet(&mut self, bytes: &[u8], view: &FlowView, now: Moment) {
         match decode_packet(bytes, PacketSender::Client) {
             Ok(packet) => {
                 let step = self.state.balancer.handle_packet(&packet, bytes, view, now);
-                self.carry_out(step, &packet, bytes, view);
+                self.execute(step, &packet, bytes, view);
             }
             Err(_) => self.counts.add(PacketOutcome::Malformed),
         }
     }
 
-    fn take_frames(&mut self, view: &FlowView) -> io::Result<()> {
+    fn receive_frames(&mut self, view: &FlowView) -> io::Result<()> {
         let count = self.receiving.receive_some(&self.sockets.frames)?;
         let now = self.state.clock.now();
         for index in 0..count {
             let mut bytes = [0; BUFFER_BYTES];
             let length = self.receiving.datagram(index).copy_to(&mut bytes);
-            self.take_frame(&bytes[..length], view, now);
+            self.handle_frame(&bytes[..length], view, now);
         }
         Ok(())
     }
 
-    fn take_frame(&mut self, datagram: &[u8], view: &FlowView, now: Moment) {
+    fn handle_frame(&mut self, datagram: &[u8], view: &FlowView, now: Moment) {
         match read_frame(datagram) {
-            Ok((PeerFrame::Note(note), _)) => {
-                self.tell_zone(&note.load, view, now);
-                let outcome = self.state.balancer.handle_flow_update(&note, now);
+            Ok((PeerFrame::Note(update), _)) => {
+                self.notify_zone(&update.load, view, now);
+                let outcome = self.state.balancer.handle_flow_update(&update, now);
                 if let Some(after) = outcome.answered_after {
                     self.metrics
                         .answer_duration
                         .record(after.as_secs_f64(), &[]);
                 }
                 if let Some(reset) = outcome.reset {
-                    self.send_loss(&reset, view);
+                    self.reset_lost(&reset, view);
                 }
             }
             Ok((PeerFrame::Load(report), _)) => {
-                self.tell_zone(&report, view, now);
+                self.notify_zone(&report, view, now);
                 self.state.balancer.record_load(&report, now);
             }
-            Ok((PeerFrame::ErrandEnd(word), _)) => {
-                if let Some(reset) = self.state.balancer.handle_search_result(&word, now) {
-                    self.send_loss(&reset, view);
+            Ok((PeerFrame::ErrandEnd(result), _)) => {
+                if let Some(reset) = self.state.balancer.handle_search_result(&result, now) {
+                    self.reset_lost(&reset, view);
                 }
             }
             Ok((PeerFrame::Unknown { agent }, bytes)) => {
                 if let Ok(packet) = decode_packet(bytes, PacketSender::Client) {
                     let balancer = &self.state.balancer;
                     let step = balancer.handle_returned_packet(&packet, bytes, agent, view, now);
-                    self.carry_out(step, &packet, bytes, view);
+                    self.execute(step, &packet, bytes, view);
                 }
             }
             Ok((
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Tells an agent whether its zone is evacuated, where its report shows that it has not heard.
-    fn tell_zone(&mut self, report: &LoadReport, view: &FlowView, now: Moment) {
+    /// Notifies an agent whether its zone is evacuated, if its report shows stale zone state.
+    fn notify_zone(&mut self, report: &LoadReport, view: &FlowView, now: Moment) {
         if let Some(notice) = self.state.balancer.zone_notice(report, view, now) {
             self.counts.add(PacketOutcome::ZoneTold);
             let frame = PeerFrame::Zone(notice);
@@ -215,13 +216,7 @@
         }
     }
 
-    fn carry_out(
-        &mut self,
-        step: BalancerStep,
-        packet: &FlowPacket,
-        bytes: &[u8],
-        view: &FlowView,
-    ) {
+    fn execute(&mut self, step: BalancerStep, packet: &FlowPacket, bytes: &[u8], view: &FlowView) {
         match step {
             BalancerStep::Send {
                 to,
@@ -257,32 +252,32 @@
         }
     }
 
-    /// Keeps a packet until a configuration is known. What goes wrong otherwise: a balancer that
-    /// has just started would refuse flows of every route, and a client that is refused three
-    /// times within milliseconds gives its request up.
+    /// Holds a packet until a configuration is known. Otherwise a balancer that has just started
+    /// would refuse flows of every route, and a client that is refused three times within
+    /// milliseconds gives up its request.
     fn hold(&mut self, bytes: &[u8]) {
         let now = self.state.clock.now();
-        self.held.retain(|(at, _)| now.since(*at) < HELD_SPAN);
-        if self.held.len() < MAX_HELD {
+        self.held.retain(|(at, _)| now.since(*at) < HELD_PACKET_TTL);
+        if self.held.len() < MAX_HELD_PACKETS {
             self.held.push((now, bytes.to_vec()));
         } else {
             self.counts.add(PacketOutcome::Dropped);
         }
     }
 
-    fn take_held(&mut self, view: &FlowView) {
+    fn release_held(&mut self, view: &FlowView) {
         if self.held.is_empty() || !view.is_known() {
             return;
         }
         let now = self.state.clock.now();
         for (at, bytes) in std::mem::take(&mut self.held) {
-            if now.since(at) < HELD_SPAN {
-                self.take_packet(&bytes, view, now);
+            if now.since(at) < HELD_PACKET_TTL {
+                self.handle_packet(&bytes, view, now);
             }
         }
     }
 
-    fn make_due_offers(&mut self, view: &FlowView) {
+    fn retry_offers(&mut self, view: &FlowView) {
         let now = self.state.clock.now();
         for offer in self.state.balancer.due_offers(view, now) {
             self.counts.add(PacketOutcome::OfferedAgain);
@@ -291,7 +286,7 @@
         }
     }
 
-    fn go_on_searching(&mut self, view: &FlowView) {
+    fn advance_searches(&mut self, view: &FlowView) {
         let now = self.state.clock.now();
         for due in self.state.balancer.due_searches(view, now) {
             match due {
@@ -300,7 +295,7 @@
                     bytes,
                     frames,
                 } => self.search(&flow, frames, &bytes, view),
-                DueSearch::Lost(reset) => self.send_loss(&reset, view),
+                DueSearch::Lost(reset) => self.reset_lost(&reset, view),
                 DueSearch::Abandoned { flow, holders } => {
                     self.counts.add(PacketOutcome::SearchAbandoned);
                     self.log.abandoned(&flow, holders, view);
@@ -317,14 +312,14 @@
         }
     }
 
-    /// Probes silent agents and ends the flows that were lost with their targets, when it is time
-    /// to look.
-    fn end_lost_flows(&mut self, view: &FlowView) {
+    /// Probes silent agents and resets flows that were lost with their targets, once per
+    /// [`LOSS_CHECK_INTERVAL`].
+    fn reset_lost_flows(&mut self, view: &FlowView) {
         let now = self.state.clock.now();
         if now < self.next_loss_check {
             return;
         }
-        self.next_loss_check = now + LOSS_INTERVAL;
+        self.next_loss_check = now + LOSS_CHECK_INTERVAL;
         let probe = PeerFrame::Probe {
             balancer: self.state.balancer.own_address(),
         };
@@ -332,11 +327,11 @@
             self.push(agent.0, |out| write_frame(&probe, &[], out));
         }
         for reset in self.state.balancer.lost_flows(view, now) {
-            self.send_loss(&reset, view);
+            self.reset_lost(&reset, view);
         }
     }
 
-    fn send_loss(&mut self, reset: &FlowReset, view: &FlowView) {
+    fn reset_lost(&mut self, reset: &FlowReset, view: &FlowView) {
         self.counts.add(PacketOutcome::ResetLost);
         self.log.lost(reset, view);
         self.send_reset(&reset.flow, reset.acknowledged);
@@ -356,7 +351,7 @@
         self.push(to.0, |out| write_frame(&frame, packet, out));
     }
 
-    /// Sends a packet of an open flow through an agent that can reach the flow's, which is silent.
+    /// Sends a packet through the agent `relay`, which can reach the flow's silent agent `to`.
     fn relay(&mut self, relay: AgentAddress, to: AgentAddress, frame: &PacketFrame, packet: &[u8]) {
         self.counts.add(PacketOutcome::Relayed);
         let frame = PeerFrame::Packet(frame.clone());
--- a/bins/balancer/src/opaque/process.rs
+++ b/bins/balancer/src/opaque/process.rs
@@ -1,4 +1,4 @@
-//! Start, run and stop of a balancer of opaque packets.
+//! Lifecycle of the balancer for opaque packets: start, run, drain, stop.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -21,30 +21,32 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 use super::catalog::{CatalogState, CatalogTasks, start_catalog};
-use super::count::{PacketMetrics, StoreCounts, zone_delay};
-use super::coverage::CoverageWatch;
+use super::coverage::CoverageLog;
+use super::decision_log::DecisionLog;
+use super::metrics::{PacketMetrics, StoreCallCounts, zone_delay};
 use super::millis;
-use super::notice::DecisionLog;
 use super::packets::{PacketSockets, PacketState, PacketThread};
-use super::zones::ZoneWatch;
+use super::zones::ZoneTracker;
 use crate::stop::StopSignal;
 
-/// How much of the time that a stop may take is left unused, so that the process ends by itself.
+/// Part of the stop timeout reserved for the exit itself, so that the process ends before it is
+/// killed.
 const STOP_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// A stop ends when no packet has arrived for this long. Routers take a process that is not
-/// ready out of their rotation after two polls half a second apart.
+/// The drain ends when no packet has arrived for this long. Routers remove a process that is not
+/// ready from their rotation after two polls half a second apart.
 const QUIET_PERIOD: Duration = Duration::from_millis(1_200);
 
-/// How often a stop looks whether packets still arrive.
-const STOP_STEP: Duration = Duration::from_millis(100);
+/// Interval at which the drain checks whether packets still arrive.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs a balancer of opaque packets until it is told to stop. `file` is what `settings` were
-/// read from; it is watched.
+/// Runs a balancer for opaque packets until it receives a stop signal or must restart because of
+/// changed settings, and has drained. `file` is the file that `settings` were read from; it is
+/// watched for changes.
 ///
 /// # Errors
 ///
-/// An [`CarrierError`] when it cannot start.
+/// Returns a [`CarrierError`] if the balancer cannot start.
 pub async fn run_opaque(
     settings: OpaqueBalancerSettings,
     file: SettingsFile,
@@ -54,7 +56,7 @@
     let mut stop = StopSignal::new()?;
     let ready = ReadyFlag::default();
     let metrics = MetricsRegistry::new()?;
-    let measured = PacketMetrics::new(&metrics.meter());
+    let packet_metrics = PacketMetrics::new(&metrics.meter());
     let common = &settings.common;
     let packets = Arc::new(PacketState {
         balancer: FlowBalancer::new(AgentAddress(common.frames))
@@ -62,12 +64,12 @@
         view: ArcSwap::from_pointee(FlowView::default()),
         received: AtomicU64::new(0),
         leaving: AtomicBool::new(false),
-        ended: AtomicBool::new(false),
+        shutdown: AtomicBool::new(false),
         clock: ProcessClock::new(),
     });
-    start_packets(&settings, &packets, measured, &log)?;
-    let calls = StoreCounts::new(&metrics.meter());
-    let zones = ZoneWatch::new(zone_delay(&metrics.meter()));
+    start_packets(&settings, &packets, packet_metrics, &log)?;
+    let calls = StoreCallCounts::new(&metrics.meter());
+    let zones = ZoneTracker::new(zone_delay(&metrics.meter()));
     let tasks = start_control(&settings, &packets, &ready, calls, zones, &log).await?;
     register_gauges(&metrics.meter(), &tasks);
     serve_operations(&settings, metrics, &tasks, ready.clone(), &log);
@@ -77,7 +79,7 @@
 
     tokio::select! {
         () = stop.wait() => {}
-        () = follow_settings(&mut watch, &settings, &tasks, &log) => {}
+        () = watch_settings(&mut watch, &settings, &tasks, &log) => {}
     }
     info!(log, "balancer stops"; "limit_ms" => millis(common.stop_timeout));
     packets.leaving.store(true, Ordering::Relaxed);
@@ -89,14 +91,14 @@
         &mut stop,
     )
     .await;
-    packets.ended.store(true, Ordering::Relaxed);
+    packets.shutdown.store(true, Ordering::Relaxed);
     info!(log, "balancer stopped"; "packets" => packets.received.load(Ordering::Relaxed));
     Ok(())
 }
 
-/// Takes over what may change while the process runs; returns when it must start anew, because an
-/// address of its own is another.
-async fn follow_settings(
+/// Applies settings that may change at run time. Returns when other settings, such as an address of
+/// this process, have changed and the process must restart.
+async fn watch_settings(
     watch: &mut SettingsWatch,
     started: &OpaqueBalancerSettings,
     tasks: &CatalogTasks,
@@ -107,17 +109,17 @@
             Ok(settings) => {
                 tasks.state.member.lock().set_seeds(&settings.seeds);
                 info!(log, "settings read again"; "seeds" => settings.seeds.len());
-                let same = OpaqueBalancerSettings {
+                let applied = OpaqueBalancerSettings {
                     common: started.common.clone().with_limits_from(&settings.common),
                     seeds: settings.seeds.clone(),
                     link_bytes_per_second: settings.link_bytes_per_second,
                     ..started.clone()
                 };
-                if settings != same {
+                if settings != applied {
                     return;
                 }
             }
-            // The last good ones stay in force.
+            // The last valid settings stay in force.
             Err(faults) => warn!(log, "settings refused"; "faults" => faults.to_string()),
         }
     }
@@ -126,7 +128,7 @@
 fn start_packets(
     settings: &OpaqueBalancerSettings,
     state: &Arc<PacketState>,
-    measured: PacketMetrics,
+    packet_metrics: PacketMetrics,
     log: &Logger,
 ) -> Result<(), CarrierError> {
     let sockets = PacketSockets {
@@ -136,9 +138,9 @@
     };
     let state = Arc::clone(state);
     let decisions = DecisionLog::new(log.clone());
-    // The thread's buffers are made where they are used.
+    // The buffers are allocated on the thread that uses them.
     start_packet_thread(log, move || {
-        PacketThread::new(state, sockets, measured, decisions).run()
+        PacketThread::new(state, sockets, packet_metrics, decisions).run()
     })?;
     Ok(())
 }
@@ -147,8 +149,8 @@
     settings: &OpaqueBalancerSettings,
     packets: &Arc<PacketState>,
     ready: &ReadyFlag,
-    calls: StoreCounts,
-    zones: ZoneWatch,
+    calls: StoreCallCounts,
+    zones: ZoneTracker,
     log: &Logger,
 ) -> Result<Arc<CatalogTasks>, CarrierError> {
     let address = settings.gossip;
@@ -172,7 +174,7 @@
         packets: Arc::clone(packets),
         ready: ready.clone(),
         calls,
-        coverage: Mutex::new(CoverageWatch::new(now)),
+        coverage: Mutex::new(CoverageLog::new(now)),
         zones: Mutex::new(zones),
         log: log.clone(),
     };
@@ -186,22 +188,22 @@
     ready: ReadyFlag,
     log: &Logger,
 ) {
-    let answers = BalancerAnswers {
+    let inspector = BalancerInspector {
         tasks: Arc::clone(tasks),
         ready: ready.clone(),
     };
-    serve_carrier(&settings.common, READY_PATH, ready, metrics, answers, log);
+    serve_carrier(&settings.common, READY_PATH, ready, metrics, inspector, log);
 }
 
-/// What the balancer tells its operators.
-struct BalancerAnswers {
+/// Answers operators' queries about the state of the balancer.
+struct BalancerInspector {
     tasks: Arc<CatalogTasks>,
     ready: ReadyFlag,
 }
 
-impl CarrierAnswers for BalancerAnswers {
+impl CarrierAnswers for BalancerInspector {
     fn status(&self) -> serde_json::Value {
-        status_of(&self.tasks, &self.ready)
+        status_json(&self.tasks, &self.ready)
     }
 
     fn explain(&self, client: SocketAddrV4, address: SocketAddrV4) -> serde_json::Value {
@@ -211,12 +213,12 @@
             service_address: address,
         };
         let now = packets.clock.now();
-        let outlook = packets.balancer.explain(&flow, &packets.view.load(), now);
-        serde_json::json!(outlook)
+        let explanation = packets.balancer.explain(&flow, &packets.view.load(), now);
+        serde_json::json!(explanation)
     }
 }
 
-/// Gauges that are read when metrics are asked for.
+/// Registers gauges that are read when metrics are scraped.
 fn register_gauges(meter: &Meter, tasks: &Arc<CatalogTasks>) {
     let packets = Arc::clone(&tasks.state.packets);
     let _flows = meter
@@ -234,41 +236,41 @@
             observer.observe(packets.view.load().is_complete().into(), &[]);
         })
         .build();
-    let held = Arc::clone(tasks);
+    let catalog = Arc::clone(tasks);
     let _evacuated = meter
         .u64_observable_gauge("lovagelatch.balancer.evacuated_zones")
         .with_unit("{zone}")
         .with_description("Zones whose targets get no new flows")
         .with_callback(move |observer| {
-            observer.observe(held.state.zones.lock().count() as u64, &[]);
+            observer.observe(catalog.state.zones.lock().count() as u64, &[]);
         })
         .build();
-    let held = Arc::clone(tasks);
+    let catalog = Arc::clone(tasks);
     let _version = meter
         .u64_observable_gauge("lovagelatch.balancer.config_version")
         .with_unit("{version}")
         .with_description("The operator's number for the configuration in force")
         .with_callback(move |observer| {
-            let now = held.state.packets.clock.now();
-            let status = held.state.member.lock().status(now);
+            let now = catalog.state.packets.clock.now();
+            let status = catalog.state.member.lock().status(now);
             observer.observe(status.version.0, &[]);
         })
         .build();
-    let held = Arc::clone(tasks);
+    let catalog = Arc::clone(tasks);
     let _age = meter
         .f64_observable_gauge("lovagelatch.balancer.catalog_age")
         .with_unit("s")
         .with_description("How long ago the store confirmed the catalog in force")
         .with_callback(move |observer| {
-            let now = held.state.packets.clock.now();
-            if let Some(age) = held.state.member.lock().status(now).age {
+            let now = catalog.state.packets.clock.now();
+            if let Some(age) = catalog.state.member.lock().status(now).age {
                 observer.observe(age.as_secs_f64(), &[]);
             }
         })
         .build();
 }
 
-fn status_of(tasks: &CatalogTasks, ready: &ReadyFlag) -> serde_json::Value {
+fn status_json(tasks: &CatalogTasks, ready: &ReadyFlag) -> serde_json::Value {
     let packets = &tasks.state.packets;
     let now = packets.clock.now();
     let catalog = tasks.state.member.lock().status(now);
@@ -292,17 +294,17 @@
     })
 }
 
-/// Goes on forwarding until routers send nothing here any more, the limit is over, or a second
-/// signal comes.
+/// Waits until routers stop sending packets here, `limit` expires, or a second signal arrives. The
+/// packet thread keeps forwarding meanwhile.
 async fn wait_for_quiet(packets: &PacketState, limit: Duration, stop: &mut StopSignal) {
-    let quiet = async {
+    let drained = async {
         let mut seen = packets.received.load(Ordering::Relaxed);
-        let mut span = Duration::ZERO;
-        while span < QUIET_PERIOD {
-            tokio::time::sleep(STOP_STEP).await;
+        let mut quiet = Duration::ZERO;
+        while quiet < QUIET_PERIOD {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             let received = packets.received.load(Ordering::Relaxed);
-            span = if received == seen {
-                span + STOP_STEP
+            quiet = if received == seen {
+                quiet + DRAIN_POLL_INTERVAL
             } else {
                 Duration::ZERO
             };
@@ -310,7 +312,7 @@
         }
     };
     tokio::select! {
-        () = quiet => {}
+        () = drained => {}
         () = tokio::time::sleep(limit) => {}
         () = stop.wait() => {}
     }
--- a/bins/balancer/src/opaque/zones.rs
+++ b/bins/balancer/src/opaque/zones.rs
@@ -1,7 +1,7 @@
-//! Which zones a balancer takes to be evacuated, told to operators.
+//! Reports to operators which zones this balancer treats as evacuated.
 //!
-//! What goes wrong without it: an operator who evacuates a zone cannot see whether this balancer obeys, since
-//! when, and by which word of the store; and a misspelt zone looks obeyed.
+//! Without it, an operator who evacuates a zone could not see whether and since when the balancer
+//! has applied this, or at which store revision, and a misspelt zone name would go unnoticed.
 
 use lovagelatch_catalog::{Catalog, EvacuatedZone};
 use lovagelatch_domain::Moment;
@@ -10,68 +10,69 @@
 
 use super::millis;
 
-/// A zone and since when it has been evacuated.
+/// An evacuated zone and the time since when it has been in force here.
 #[derive(Clone, Debug)]
-struct HeldZone {
+struct TrackedZone {
     zone: EvacuatedZone,
     since: Moment,
 }
 
-/// Writes a line for each change, and remembers what is in force.
+/// Tracks the evacuated zones in force and logs each change.
 #[derive(Debug)]
-pub(crate) struct ZoneWatch {
+pub(crate) struct ZoneTracker {
     revision: u64,
-    held: Vec<HeldZone>,
-    /// From the moment at which a change was read from the store until it was in force here.
+    tracked: Vec<TrackedZone>,
+    /// Time from reading a change from the store until it is in force here.
     delay: Histogram<f64>,
 }
 
-impl ZoneWatch {
+impl ZoneTracker {
     pub(crate) fn new(delay: Histogram<f64>) -> Self {
         Self {
             revision: 0,
-            held: Vec::new(),
+            tracked: Vec::new(),
             delay,
         }
     }
 
-    /// Notes the zones of a catalog that is in force from now on; `told` is when the store was asked for them.
-    pub(crate) fn note(&mut self, catalog: &Catalog, told: Moment, now: Moment, log: &Logger) {
+    /// Records the zones of a catalog that is now in force. `read_at` is the time at which the
+    /// store was asked for them.
+    pub(crate) fn record(&mut self, catalog: &Catalog, read_at: Moment, now: Moment, log: &Logger) {
         if catalog.zones_revision == self.revision {
             return;
         }
-        let first = self.revision == 0;
+        let is_first = self.revision == 0;
         self.revision = catalog.zones_revision;
         let restored = self
-            .held
-            .extract_if(.., |held| !catalog.evacuated.contains(&held.zone));
+            .tracked
+            .extract_if(.., |tracked| !catalog.evacuated.contains(&tracked.zone));
         let mut changes = 0;
-        for held in restored {
+        for tracked in restored {
             changes += 1;
             info!(log, "zone takes new flows again";
                 "decision" => DecisionKind::ZoneChanged,
-                "zone" => held.zone.0.as_str().to_owned(),
+                "zone" => tracked.zone.0.as_str().to_owned(),
                 "revision" => catalog.zones_revision,
-                "evacuated_ms" => millis(now.since(held.since)));
+                "evacuated_ms" => millis(now.since(tracked.since)));
         }
         for zone in catalog.evacuated.iter() {
-            if self.held.iter().any(|held| held.zone == *zone) {
+            if self.tracked.iter().any(|tracked| tracked.zone == *zone) {
                 continue;
             }
             changes += 1;
-            self.begin(zone, catalog, told, now, log);
+            self.add(zone, catalog, read_at, now, log);
         }
-        // What a process finds at its start has been in force elsewhere for long.
-        if changes > 0 && !first {
-            self.delay.record(now.since(told).as_secs_f64(), &[]);
+        // Skip the state found at startup: it has long been in force elsewhere.
+        if changes > 0 && !is_first {
+            self.delay.record(now.since(read_at).as_secs_f64(), &[]);
         }
     }
 
-    fn begin(
+    fn add(
         &mut self,
         zone: &EvacuatedZone,
         catalog: &Catalog,
-        told: Moment,
+        read_at: Moment,
         now: Moment,
         log: &Logger,
     ) {
@@ -82,28 +83,28 @@
             "zone" => zone.0.as_str().to_owned(),
             "revision" => catalog.zones_revision,
             "targets" => targets,
-            "age_ms" => millis(now.since(told)));
+            "age_ms" => millis(now.since(read_at)));
         if targets == 0 {
             warn!(log, "no target is in the evacuated zone: is its name right?";
                 "zone" => zone.0.as_str().to_owned());
         }
-        self.held.push(HeldZone {
+        self.tracked.push(TrackedZone {
             zone: zone.clone(),
             since: now,
         });
     }
 
-    /// The evacuated zones, for operators.
+    /// Returns the evacuated zones as JSON for the status page.
     pub(crate) fn status(&self, now: Moment) -> Value {
-        let zones = self.held.iter().map(|held| {
-            let since = millis(now.since(held.since));
-            json!({ "zone": held.zone.0.as_str(), "evacuated_ms": since })
+        let zones = self.tracked.iter().map(|tracked| {
+            let since = millis(now.since(tracked.since));
+            json!({ "zone": tracked.zone.0.as_str(), "evacuated_ms": since })
         });
         json!(zones.collect::<Vec<_>>())
     }
 
-    /// How many zones are evacuated.
+    /// Returns the number of evacuated zones.
     pub(crate) fn count(&self) -> usize {
-        self.held.len()
+        self.tracked.len()
     }
 }
