--- a/bins/balancer/benches/forwarding.rs
+++ b/bins/balancer/benches/forwarding.rs
@@ -1,14 +1,14 @@
-//! How fast one packet thread forwards, against a bare relay with the same batches.
+//! Throughput of one packet thread, compared with a bare relay that uses the same batches.
 //!
 //! `cargo bench -p lovagelatch-balancer --bench forwarding`
 //!
 //! ```text
-//! sender --1,200-byte datagrams, as fast as it can--> relay or packet thread --> sink, counting
+//! sender --1,200-byte datagrams, at full speed--> relay or packet thread --> counting sink
 //! ```
 //!
-//! Both run in turn in one process over loopback, each alone, one thread each. The relay
-//! copies a datagram from one batch to the other and decides nothing. What is more than a
-//! thread can take is dropped by its socket's buffer, so that the sink counts its full rate.
+//! The two run alternately in one process over loopback, with one thread each. The relay copies
+//! datagrams from one batch to the other and makes no decisions. Datagrams in excess of a thread's
+//! capacity are dropped by its socket's buffer, so the sink measures the thread's full rate.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket};
@@ -34,12 +34,12 @@
 const SERVICE: ServiceId = ServiceId(7);
 const SERVICE_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 20, 0, 1), 4433);
 const DATAGRAM_BYTES: usize = 1_200;
-/// Different flows in turn.
+/// Number of different flows, sent round-robin.
 const FLOWS: usize = 1_024;
 const ROUNDS: usize = 5;
-const ROUND: Duration = Duration::from_millis(1_500);
-const WARM_UP: Duration = Duration::from_millis(200);
-const TIMEOUT: Duration = Duration::from_millis(50);
+const ROUND_DURATION: Duration = Duration::from_millis(1_500);
+const WARM_UP_DURATION: Duration = Duration::from_millis(200);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
 const BUFFER_BYTES: usize = 4 * 1024 * 1024;
 
 fn bind() -> UdpSocket {
@@ -48,7 +48,7 @@
         .set_recv_buffer_size(BUFFER_BYTES)
         .expect("a buffer size");
     socket
-        .set_read_timeout(Some(TIMEOUT))
+        .set_read_timeout(Some(RECEIVE_TIMEOUT))
         .expect("a read timeout");
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     socket.bind(&any.into()).expect("a free port");
@@ -67,7 +67,8 @@
     FleetKeys::new(&[secret]).expect("one key")
 }
 
-/// Datagrams of open flows as the fabric hands them in; all name the sink as their agent.
+/// Returns datagrams of open flows as the fabric delivers them; the tokens name the sink as the
+/// agent.
 fn open_flows(agent: AgentAddress, keys: &FleetKeys) -> Vec<Vec<u8>> {
     let ends = PacketEnds {
         source: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 40_000),
@@ -100,7 +101,7 @@
         .build()
 }
 
-/// Sends until told to end.
+/// Sends datagrams until `ended` is set.
 fn start_sender(
     to: SocketAddrV4,
     datagrams: Vec<Vec<u8>>,
@@ -124,7 +125,7 @@
     })
 }
 
-/// Counts what arrives until told to end.
+/// Counts received datagrams until `ended` is set.
 fn start_sink(socket: UdpSocket, count: Arc<AtomicU64>, ended: Arc<AtomicBool>) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let mut batch = ReceiveBatch::new();
@@ -167,9 +168,9 @@
     let watched = (Arc::clone(&state), Arc::clone(ended));
     let watcher = std::thread::spawn(move || {
         while !watched.1.load(Ordering::Relaxed) {
-            std::thread::sleep(TIMEOUT);
+            std::thread::sleep(RECEIVE_TIMEOUT);
         }
-        watched.0.ended.store(true, Ordering::Relaxed);
+        watched.0.shutdown.store(true, Ordering::Relaxed);
     });
     let run: io::Result<()> = PacketForwarder::new(state, path, metrics, log).run(listen, out);
     run.expect("loopback works");
@@ -182,7 +183,7 @@
     Balancer,
 }
 
-/// Datagrams a second that reach the sink.
+/// Measures the rate of datagrams that reach the sink, per second.
 fn measure(subject: Subject) -> f64 {
     let ended = Arc::new(AtomicBool::new(false));
     let count = Arc::new(AtomicU64::new(0));
@@ -197,15 +198,15 @@
         Subject::Balancer => forward(&listen, &out, agent, &flag),
     });
     let sender = start_sender(entry, datagrams, Arc::clone(&ended));
-    std::thread::sleep(WARM_UP);
+    std::thread::sleep(WARM_UP_DURATION);
     let (start, before) = (Instant::now(), count.load(Ordering::Relaxed));
-    std::thread::sleep(ROUND);
-    let (passed, after) = (start.elapsed(), count.load(Ordering::Relaxed));
+    std::thread::sleep(ROUND_DURATION);
+    let (elapsed, after) = (start.elapsed(), count.load(Ordering::Relaxed));
     ended.store(true, Ordering::Relaxed);
     for thread in [sender, middle, sink] {
         thread.join().expect("the threads end");
     }
-    (after - before) as f64 / passed.as_secs_f64()
+    (after - before) as f64 / elapsed.as_secs_f64()
 }
 
 fn median(mut rates: Vec<f64>) -> f64 {
--- a/bins/balancer/benches/memory.rs
+++ b/bins/balancer/benches/memory.rs
@@ -1,4 +1,4 @@
-//! What flows cost a balancer in memory: the real binary at 0, 1 and 200,000 open flows.
+//! Memory use of the real binary with 0, 1 and 200,000 open flows.
 //!
 //! `cargo bench -p lovagelatch-balancer --bench memory`
 
@@ -14,16 +14,16 @@
 use lovagelatch_network::{PacketEnds, write_header};
 
 const FLOWS: u64 = 200_000;
-/// Datagrams sent before the sink is read, so that none is lost on the way.
+/// Number of datagrams sent before the sink is read; small enough that none is lost.
 const BURST: u64 = 50;
-const START_LIMIT: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 const DATAGRAM_BYTES: usize = 1_200;
 
 fn secret() -> KeySecret {
     KeySecret::from_bytes(KeyGeneration(1), [1; 32])
 }
 
-/// A port that was free for UDP and TCP a moment ago.
+/// Returns an address with a free port; another process may take it before it is bound.
 fn free_address() -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     ipv4(listener.local_addr().expect("bound"))
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Resident memory in kilobytes.
+    /// Returns the resident memory of the balancer in kB.
     fn resident(&self) -> u64 {
         let path = format!("/proc/{}/status", self.child.id());
         let status = fs::read_to_string(path).expect("the balancer runs");
@@ -76,7 +76,7 @@
 
 impl Drop for RunningBalancer {
     fn drop(&mut self) {
-        // Nothing more can be done about a process that has ended already.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.directory);
@@ -130,11 +130,11 @@
         datagram.push(0x40);
         datagram.extend_from_slice(&token.seal(&self.keys));
         datagram.resize(DATAGRAM_BYTES, 7);
-        // A refused datagram is missed below.
+        // A datagram that is not sent is missing in the count of received ones.
         let _ = self.socket.send_to(&datagram, to);
     }
 
-    /// How many of `wanted` datagrams reach the sink.
+    /// Receives up to `wanted` datagrams at the sink and returns their number.
     fn receive(&self, wanted: u64) -> u64 {
         let mut buffer = [0; 2_048];
         (0..wanted)
@@ -144,7 +144,7 @@
 
     fn wait_for(&self, balancer: &RunningBalancer) {
         let start = Instant::now();
-        while start.elapsed() < START_LIMIT {
+        while start.elapsed() < START_TIMEOUT {
             self.send(0, balancer.listen);
             if self.receive(1) == 1 {
                 return;
@@ -153,7 +153,7 @@
         panic!("the balancer forwards nothing");
     }
 
-    /// Sends datagrams of the flows that `serial_of` names; returns how many came through.
+    /// Sends datagrams with flow serials from `serial_of`; returns the number of forwarded ones.
     fn run(&self, balancer: &RunningBalancer, serial_of: impl Fn(u64) -> u64) -> u64 {
         let mut received = 0;
         for burst in 0..FLOWS / BURST {
--- a/bins/balancer/src/control.rs
+++ b/bins/balancer/src/control.rs
@@ -1,4 +1,4 @@
-//! The control address: frames and streams of the system's other processes.
+//! Control address: frames and streams from other processes of the fleet.
 
 use std::io;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::Semaphore;
 
-/// Room for one frame over UDP, in bytes.
+/// Size of the receive buffer for one UDP frame, in bytes.
 const DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// How long a new stream may take to send its first frame.
+/// Timeout for the first frame of a new stream.
 const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Streams that are open at a time. Without a bound, connections that never speak would use up
-/// the process's file descriptors.
+/// Maximum number of streams open at a time. Without a limit, idle connections would exhaust the
+/// process's file descriptors.
 const MAX_STREAMS: usize = 256;
 
-/// Pause after a failed accept, so that a shortage of file descriptors is not met in a loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, so that a shortage of file descriptors does not cause a busy loop.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Serves the control address of a balancer.
 #[derive(Clone, Debug)]
-pub(crate) struct ControlPort {
+pub(crate) struct ControlServer {
     fleet: FleetClient,
     keys: Arc<ArcSwap<FleetKeys>>,
     refused: Counter<u64>,
     log: Logger,
 }
 
-impl ControlPort {
+impl ControlServer {
     pub(crate) fn new(
         fleet: FleetClient,
         keys: Arc<ArcSwap<FleetKeys>>,
@@ -57,61 +57,62 @@
         }
     }
 
-    /// Takes frames over UDP for ever.
+    /// Handles UDP frames; never returns.
     pub(crate) async fn serve_datagrams(self, socket: Arc<UdpSocket>) {
         let mut buffer = vec![0; DATAGRAM_BYTES];
         loop {
             match socket.recv_from(&mut buffer).await {
-                Ok((length, _)) => self.take_datagram(&buffer[..length]),
-                // The network's answer to something this socket sent; it says nothing here.
+                Ok((length, _)) => self.handle_datagram(&buffer[..length]),
+                // An ICMP error for an earlier datagram of this socket; not fatal.
                 Err(error) => debug!(self.log, "control socket"; "error" => error.to_string()),
             }
         }
     }
 
-    fn take_datagram(&self, datagram: &[u8]) {
-        if self.is_membership(datagram, "udp") {
+    fn handle_datagram(&self, datagram: &[u8]) {
+        if self.verify_membership(datagram, "udp") {
             self.fleet.accept_datagram(datagram);
         }
     }
 
-    /// Takes streams for ever.
+    /// Accepts streams; never returns.
     pub(crate) async fn serve_streams(self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(MAX_STREAMS));
+        let permits = Arc::new(Semaphore::new(MAX_STREAMS));
         loop {
-            let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+            let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
                 return;
             };
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let port = self.clone();
+                    let server = self.clone();
                     tokio::spawn(async move {
-                        port.take_stream(stream).await;
-                        drop(place);
+                        server.handle_stream(stream).await;
+                        drop(permit);
                     });
                 }
-                Err(error) => self.pause_accepting(&error).await,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
-    async fn pause_accepting(&self, error: &io::Error) {
+    async fn back_off(&self, error: &io::Error) {
         debug!(self.log, "control stream not accepted"; "error" => error.to_string());
-        tokio::time::sleep(ACCEPT_PAUSE).await;
+        tokio::time::sleep(ACCEPT_BACKOFF).await;
     }
 
-    async fn take_stream(&self, mut stream: TcpStream) {
+    async fn handle_stream(&self, mut stream: TcpStream) {
         let first = read_frame(&mut stream, MAX_STREAM_FRAME_BYTES);
         let first = tokio::time::timeout(FIRST_FRAME_TIMEOUT, first).await;
         let Ok(Ok(Some(first))) = first else {
             return;
         };
-        if self.is_membership(&first, "tcp") {
+        if self.verify_membership(&first, "tcp") {
             self.fleet.accept_stream(stream, first).await;
         }
     }
 
-    fn is_membership(&self, frame: &[u8], transport: &'static str) -> bool {
+    /// Returns whether the frame is a genuine membership frame. Counts and logs it otherwise.
+    fn verify_membership(&self, frame: &[u8], transport: &'static str) -> bool {
         let keys = self.keys.load();
         let error = match open_frame(frame, &keys) {
             Ok(opened) if opened.kind == FrameKind::Membership => return true,
--- a/bins/balancer/src/notice.rs
+++ b/bins/balancer/src/decision_log.rs
@@ -1,26 +1,26 @@
-//! Log lines for decisions, bounded in rate.
+//! Rate-limited log lines for routing decisions.
 //!
-//! What goes wrong without a bound: anybody can send garbage as fast as the network carries it,
-//! and a line for each would fill the log and cost more than the packets. It shows as a log of
-//! nothing but refusals. So each thread writes a bounded number of lines a second, and the next
-//! line says how many were left out; the counters always hold every packet.
+//! Anyone can send garbage at line rate. Without a limit, one line per packet would fill the log
+//! with refusals and cost more than the packets themselves. Each thread therefore writes a bounded
+//! number of lines per second, and the next line reports how many were left out. The counters
+//! always include every packet.
 
 use std::time::Instant;
 
 use lovagelatch_routing::RouteDecision;
 use lovagelatch_telemetry::{DecisionKind, LineBudget, Logger, info, warn};
 
-use crate::count::PacketOutcome;
 use crate::ingress::PacketOrigin;
+use crate::metrics::PacketOutcome;
 
-/// Lines about refused packets that one thread writes in a second.
-const REFUSAL_LINES: u32 = 20;
+/// Limit per thread on lines about refused packets.
+const REFUSAL_LINES_PER_SECOND: u32 = 20;
 
-/// Lines about new flows that one thread writes in a second: above the rate of new flows that a
-/// balancer is built for, so that only a flood of them is cut short.
-const FLOW_LINES: u32 = 5_000;
+/// Limit per thread on lines about new flows: above the rate of new flows that a balancer is built
+/// for, so that it takes effect only in a flood.
+const FLOW_LINES_PER_SECOND: u32 = 5_000;
 
-/// Writes one thread's decision lines.
+/// Writes the decision lines of one packet thread.
 #[derive(Debug)]
 pub(crate) struct DecisionLog {
     log: Logger,
@@ -32,15 +32,15 @@
     pub(crate) fn new(log: Logger) -> Self {
         Self {
             log,
-            flows: LineBudget::new(FLOW_LINES),
-            refusals: LineBudget::new(REFUSAL_LINES),
+            flows: LineBudget::new(FLOW_LINES_PER_SECOND),
+            refusals: LineBudget::new(REFUSAL_LINES_PER_SECOND),
         }
     }
 
-    /// Logs where a flow was placed, or that a packet leads to a reset; other packets of open
-    /// flows leave no line.
-    pub(crate) fn placed(&mut self, notice: &PlacedNotice<'_>, now: Instant) {
-        let (agent, standing) = match notice.decision {
+    /// Logs the placement of a new flow or a packet that leads to a reset. Packets of open flows
+    /// are not logged.
+    pub(crate) fn placed(&mut self, placement: &FlowPlacement<'_>, now: Instant) {
+        let (agent, standing) = match placement.decision {
             RouteDecision::NewFlow {
                 agent, standing, ..
             } => (agent, format!("{standing:?}").to_lowercase()),
@@ -52,14 +52,14 @@
         };
         info!(self.log, "flow placed";
             "decision" => DecisionKind::FlowPlaced,
-            "outcome" => PacketOutcome::from(notice.decision).as_str(),
-            "caller" => notice.origin.caller.to_string(),
-            "address" => notice.origin.service_address.to_string(),
-            "service" => notice.service.to_owned(),
-            "flow" => hex::encode(notice.flow_key),
+            "outcome" => PacketOutcome::from(placement.decision).as_str(),
+            "caller" => placement.origin.caller.to_string(),
+            "address" => placement.origin.service_address.to_string(),
+            "service" => placement.service.to_owned(),
+            "flow" => hex::encode(placement.flow_key),
             "agent" => agent.to_string(),
             "standing" => standing,
-            "revision" => notice.revision,
+            "revision" => placement.revision,
             "left_out" => left_out);
     }
 
@@ -86,11 +86,11 @@
     }
 }
 
-/// What a line about a placed flow tells.
-pub(crate) struct PlacedNotice<'a> {
+/// Contents of a "flow placed" line.
+pub(crate) struct FlowPlacement<'a> {
     pub(crate) decision: &'a RouteDecision,
     pub(crate) origin: PacketOrigin,
-    /// The name of the service, or its number when the text does not name it.
+    /// Name of the service; empty if the routing table does not know it.
     pub(crate) service: &'a str,
     pub(crate) flow_key: &'a [u8],
     pub(crate) revision: u64,
--- a/bins/balancer/src/forward.rs
+++ b/bins/balancer/src/forward.rs
@@ -1,10 +1,10 @@
-//! One packet thread: receive a batch, decide for each datagram, send a batch.
+//! Packet thread: receives a batch, routes each datagram, sends a batch.
 //!
 //! ```text
 //! fabric --recvmmsg--> PacketIngress -> PacketView -> FlowRouter -> seal_forward --sendmmsg--> agent
 //! ```
 //!
-//! Nothing of a flow is kept between packets. Keys and routing table are loaded once a batch.
+//! No flow state is kept between packets. Keys and routing table are loaded once per batch.
 
 use std::io;
 use std::net::UdpSocket;
@@ -19,66 +19,66 @@
 use lovagelatch_routing::{FlowRouter, RoutingTable};
 use lovagelatch_telemetry::Logger;
 
-use crate::count::{PacketCounts, PacketMetrics, PacketOutcome};
+use crate::decision_log::DecisionLog;
+use crate::error_queue::{ErrorQueueReader, enable_error_queue};
 use crate::ingress::PacketIngress;
-use crate::notice::DecisionLog;
-use crate::refused::{RefusalReader, tell_refusals};
-use crate::step::PacketStep;
+use crate::metrics::{PacketCounts, PacketMetrics, PacketOutcome};
+use crate::processor::PacketProcessor;
 
-/// Packets counted before a busy thread adds them to the process's counters.
-const FLUSH_PACKETS: u64 = 1_024;
+/// A busy thread adds its counts to the process's counters after this many packets.
+const FLUSH_THRESHOLD_PACKETS: u64 = 1_024;
 
-/// What the packet threads of a process share.
+/// State shared by the packet threads of a process.
 #[derive(Debug)]
 pub struct ForwardState {
-    /// The keys that are valid now.
+    /// Currently valid keys; replaced when the key file changes.
     pub keys: Arc<ArcSwap<FleetKeys>>,
-    /// The newest routing table.
+    /// Current routing table; replaced when the view changes.
     pub table: ArcSwap<RoutingTable>,
-    /// Packets received so far, by which a stop sees that nothing arrives any more.
+    /// Number of packets received so far. The drain ends when it no longer grows.
     pub received: AtomicU64,
-    /// Tells the threads to end.
-    pub ended: AtomicBool,
+    /// Set to make the packet threads exit.
+    pub shutdown: AtomicBool,
 }
 
 impl ForwardState {
-    /// The state at the start, when no view is known.
+    /// Creates the initial state, with an empty routing table.
     #[must_use]
     pub fn new(keys: Arc<ArcSwap<FleetKeys>>) -> Self {
         Self {
             keys,
             table: ArcSwap::default(),
             received: AtomicU64::new(0),
-            ended: AtomicBool::new(false),
+            shutdown: AtomicBool::new(false),
         }
     }
 }
 
-/// How one packet thread receives and sends.
+/// Addressing of the packet path: how datagrams arrive and leave.
 #[derive(Clone, Debug)]
 pub struct ForwardPath {
-    /// How datagrams arrive.
+    /// How callers' datagrams arrive.
     pub ingress: PacketIngress,
-    /// How they leave.
+    /// How frames reach agents: directly or through a gateway.
     pub path: DatagramPath,
-    /// The address that this process is known by.
+    /// Control address of this process, the source of its frames.
     pub control: AgentAddress,
 }
 
-/// One packet thread.
+/// Forwards packets on one thread.
 pub struct PacketForwarder {
     state: Arc<ForwardState>,
     path: ForwardPath,
     receiving: ReceiveBatch,
     sending: SendBatch,
-    refusals: RefusalReader,
+    error_queue: ErrorQueueReader,
     counts: PacketCounts,
     metrics: PacketMetrics,
     log: DecisionLog,
 }
 
 impl PacketForwarder {
-    /// A packet thread with its buffers.
+    /// Creates a forwarder and allocates its buffers.
     #[must_use]
     pub fn new(
         state: Arc<ForwardState>,
@@ -91,32 +91,32 @@
             path,
             receiving: ReceiveBatch::new(),
             sending: SendBatch::new(),
-            refusals: RefusalReader::new(),
+            error_queue: ErrorQueueReader::new(),
             counts: PacketCounts::default(),
             metrics,
             log: DecisionLog::new(log),
         }
     }
 
-    /// Forwards until the state says to end. `listen` needs a read timeout, which bounds how
-    /// late the end is seen.
+    /// Forwards packets until `shutdown` is set. `listen` must have a read timeout, which bounds
+    /// the delay until the flag is seen.
     ///
     /// # Errors
     ///
-    /// What the operating system said when the socket can no longer be read.
+    /// Returns the operating system's error if the socket can no longer be read.
     pub fn run(&mut self, listen: &UdpSocket, out: &UdpSocket) -> io::Result<()> {
-        // Behind a gateway, only the gateway's host would answer.
+        // Behind a gateway, ICMP errors would come from the gateway's host only.
         let direct = self.path.path.gateway().is_none();
         if direct {
-            tell_refusals(out)?;
+            enable_error_queue(out)?;
         }
-        while !self.state.ended.load(Ordering::Relaxed) {
+        while !self.state.shutdown.load(Ordering::Relaxed) {
             let count = self.receiving.receive_some(listen)?;
             self.forward_batch(count, out);
-            // A busy socket tells of an answer by its next send; a quiet one is looked at now and
-            // then.
+            // On a busy socket a failed send reveals a queued ICMP error; on an idle one the queue
+            // is polled.
             if direct && (count == 0 || self.sending.take_answered()) {
-                self.return_batch(out);
+                self.reroute_returned(out);
             }
         }
         Ok(())
@@ -131,22 +131,22 @@
             let refused = self.sending.send(out);
             self.counts.add_many(PacketOutcome::NotSent, refused as u64);
         }
-        if count < BATCH_DATAGRAMS || self.counts.total() >= FLUSH_PACKETS {
+        if count < BATCH_DATAGRAMS || self.counts.total() >= FLUSH_THRESHOLD_PACKETS {
             self.counts.flush(&self.metrics);
         }
     }
 
-    /// Takes what came back, and has each flow that it belongs to reset by another agent.
-    fn return_batch(&mut self, out: &UdpSocket) {
+    /// Reads returned datagrams and sends each to another agent, which resets its flow.
+    fn reroute_returned(&mut self, out: &UdpSocket) {
         while self.sending.len() < BATCH_DATAGRAMS {
-            let returned = match self.refusals.read(out) {
+            let returned = match self.error_queue.read(out) {
                 Ok(Some(returned)) => returned,
                 Ok(None) => continue,
                 Err(_) => break,
             };
             let keys = self.state.keys.load();
             let table = self.state.table.load();
-            let mut step = PacketStep {
+            let mut processor = PacketProcessor {
                 path: &self.path,
                 router: &FlowRouter::with_keys(&keys),
                 keys: &keys,
@@ -155,7 +155,7 @@
                 log: &mut self.log,
                 now: Instant::now(),
             };
-            if let Some(outcome) = step.return_packet(&returned) {
+            if let Some(outcome) = processor.reroute(&returned) {
                 self.counts.add(outcome);
             }
         }
@@ -174,7 +174,7 @@
         let keys = state.keys.load();
         let table = state.table.load();
         let now = Instant::now();
-        let mut step = PacketStep {
+        let mut processor = PacketProcessor {
             path: &self.path,
             router: &FlowRouter::with_keys(&keys),
             keys: &keys,
@@ -185,9 +185,9 @@
         };
         for index in 0..count {
             let received = self.receiving.datagram(index);
-            let outcome = match step.path.ingress.read(&received) {
-                Ok((origin, datagram)) => step.forward(origin, datagram),
-                Err(error) => step.refuse(PacketOutcome::from(&error), None, &error),
+            let outcome = match processor.path.ingress.read(&received) {
+                Ok((origin, datagram)) => processor.forward(origin, datagram),
+                Err(error) => processor.refuse(PacketOutcome::from(&error), None, &error),
             };
             self.counts.add(outcome);
         }
--- a/bins/balancer/src/ingress.rs
+++ b/bins/balancer/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Who sent a datagram, and to which service address.
+//! Determines the caller and the service address of a received datagram.
 
 use std::net::SocketAddrV4;
 
@@ -7,31 +7,31 @@
 use lovagelatch_wire::MAX_DATAGRAM_BYTES;
 use thiserror::Error;
 
-use crate::count::PacketOutcome;
+use crate::metrics::PacketOutcome;
 use lovagelatch_network::ReceivedDatagram;
 
-/// Where a caller's datagram comes from and where the caller sent it.
+/// Source and destination of a caller's datagram, as the caller sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketOrigin {
-    /// The caller.
+    /// Address of the caller.
     pub caller: SocketAddrV4,
-    /// The service address.
+    /// Service address that the caller sent the datagram to.
     pub service_address: SocketAddrV4,
 }
 
-/// Why a received datagram holds no caller's datagram that can be forwarded.
+/// Errors of received datagrams that cannot be forwarded.
 #[derive(Debug, PartialEq, Error)]
 pub enum IngressError {
-    /// It has no readable PROXY header.
+    /// The PROXY header is missing or malformed.
     #[error(transparent)]
     Header(#[from] HeaderError),
-    /// The system did not tell which address it was sent to.
-    #[error("no destination address with the datagram")]
+    /// The kernel did not report the destination address.
+    #[error("datagram without a destination address")]
     NoDestination,
-    /// The caller's datagram is longer than what can be forwarded.
-    #[error("a datagram of {length} bytes, above {MAX_DATAGRAM_BYTES}")]
+    /// The caller's datagram exceeds the maximum that can be forwarded.
+    #[error("datagram too long: {length} bytes, maximum {MAX_DATAGRAM_BYTES}")]
     TooLong {
-        /// Its length in bytes, or of the part that was received.
+        /// Length in bytes; if the datagram was truncated, of the part that was received.
         length: usize,
     },
 }
@@ -45,16 +45,16 @@
     }
 }
 
-/// Reads how datagrams arrive at this balancer.
+/// Extracts caller, service address and payload from datagrams that arrive at this balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct PacketIngress {
     kind: IngressKind,
-    /// The port of the service addresses when they are configured on this instance.
+    /// Port of the service addresses, used with direct ingress.
     port: u16,
 }
 
 impl PacketIngress {
-    /// Datagrams that arrive at `listen` in this way.
+    /// Creates an ingress of the given kind for datagrams that arrive at `listen`.
     #[must_use]
     pub fn new(kind: IngressKind, listen: SocketAddrV4) -> Self {
         Self {
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Finds a datagram's origin and the bytes that the caller sent.
+    /// Returns the origin of a datagram and the bytes that the caller sent.
     ///
     /// # Errors
     ///
-    /// An [`IngressError`] when it cannot be forwarded.
+    /// Returns an [`IngressError`] if the datagram cannot be forwarded.
     pub fn read<'a>(
         &self,
         received: &ReceivedDatagram<'a>,
--- a/bins/balancer/src/lib.rs
+++ b/bins/balancer/src/lib.rs
@@ -1,31 +1,32 @@
-//! The balancer: reads callers' datagrams and forwards each to the agent that holds its flow.
+//! Layer-4 load balancer: forwards each caller's datagram to the agent that holds its flow.
 //!
 //! ```text
 //! fabric --> packet threads --forward frames--> agents
-//!                ^ keys, routing table (swapped whole)
+//!                ^ keys, routing table (swapped atomically)
 //!            control tasks <--membership--> other processes, platform
 //! ```
 //!
-//! Packet threads share nothing that is written for a packet: no flow table, no lock.
+//! The QUIC packet path is stateless: packet threads share no flow table and take no lock.
+//! The balancer for opaque packets, which does keep flow state, is the module `opaque`.
 
 mod command;
 mod control;
-mod count;
+mod decision_log;
+mod error_queue;
 mod forward;
 mod ingress;
-mod notice;
+mod metrics;
 mod opaque;
 mod process;
+mod processor;
 mod refresh;
-mod refused;
-mod step;
 mod stop;
 mod threads;
 
 pub use command::{CommandLine, command_line};
-pub use count::{PacketCounts, PacketMetrics, PacketOutcome};
+pub use error_queue::{ErrorQueueReader, ReturnedDatagram, enable_error_queue};
 pub use forward::{ForwardPath, ForwardState, PacketForwarder};
 pub use ingress::{IngressError, PacketIngress, PacketOrigin};
+pub use metrics::{PacketCounts, PacketMetrics, PacketOutcome};
 pub use opaque::run_opaque;
 pub use process::{BalancerError, run_balancer};
-pub use refused::{RefusalReader, ReturnedDatagram, tell_refusals};
--- a/bins/balancer/src/count.rs
+++ b/bins/balancer/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts of packets by what became of them.
+//! Packet counters by outcome.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,35 +7,35 @@
 use lovagelatch_routing::{PacketError, RouteDecision, RouteRefusal};
 use lovagelatch_telemetry::{Counter, KeyValue, Meter};
 
-/// What became of a caller's datagram.
+/// Outcome of a caller's datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PacketOutcome {
-    /// Forwarded to the agent its token names.
+    /// Forwarded to the agent named in its flow token.
     Forwarded,
     /// Forwarded as the first packet of a flow.
     Placed,
-    /// Forwarded to be answered with a stateless reset.
+    /// Forwarded to an agent that answers with a stateless reset.
     Reset,
-    /// Forwarded as above, and came back since nobody listens there: then forwarded once more, to
-    /// be answered with a stateless reset.
+    /// Returned as undeliverable because the agent's port was closed, then forwarded to another
+    /// agent that answers with a stateless reset.
     Returned,
-    /// Dropped: no readable PROXY header, or not told where it was sent.
+    /// Dropped: PROXY header or destination address missing or malformed.
     NoEnds,
-    /// Dropped: longer than what can be forwarded.
+    /// Dropped: exceeds the maximum datagram length.
     TooLong,
-    /// Dropped: no header that a caller may send.
+    /// Dropped: not a packet header that a caller may send.
     BadHeader,
-    /// Dropped: its token is forged, damaged, or of a generation no longer valid.
+    /// Dropped: its flow token is forged, corrupted, or of an expired key generation.
     BadToken,
-    /// Dropped: too small, or with too short a connection ID, to open a flow.
+    /// Dropped: packet or connection ID too short to open a flow.
     BadOpening,
-    /// Dropped: no service at its address.
+    /// Dropped: no service has the destination address.
     UnknownAddress,
-    /// Dropped: the instance that held its flow has passed to another service.
+    /// Dropped: the instance that held its flow now belongs to another service.
     WrongService,
-    /// Dropped: no target of the service.
+    /// Dropped: the service has no target.
     NoTarget,
-    /// Dropped: the operating system refused to send it.
+    /// Dropped: the operating system failed to send it.
     NotSent,
 }
 
@@ -56,7 +56,7 @@
         Self::NotSent,
     ];
 
-    /// The word that stands in metrics and logs.
+    /// Returns the label used in metrics and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -78,8 +78,8 @@
 }
 
 impl From<&PacketError> for PacketOutcome {
-    fn from(fault: &PacketError) -> Self {
-        match fault {
+    fn from(error: &PacketError) -> Self {
+        match error {
             PacketError::Header(_) => Self::BadHeader,
             PacketError::Token(_) => Self::BadToken,
             PacketError::SmallInitial { .. } | PacketError::ShortId { .. } => Self::BadOpening,
@@ -104,16 +104,16 @@
     }
 }
 
-/// The process's packet counters.
+/// Packet counters of the process.
 #[derive(Clone, Debug)]
 pub struct PacketMetrics {
     packets: Counter<u64>,
-    /// The same counts where the status page can read them.
+    /// The same counts, readable for the status page.
     totals: Arc<[AtomicU64; PacketOutcome::ALL.len()]>,
 }
 
 impl PacketMetrics {
-    /// Makes the counters.
+    /// Registers the counters with `meter`.
     #[must_use]
     pub fn new(meter: &Meter) -> Self {
         let packets = meter
@@ -127,7 +127,7 @@
         }
     }
 
-    /// All counts so far, by the words of the outcomes.
+    /// Returns the count of each outcome since the start, by its label.
     #[must_use]
     pub fn totals(&self) -> BTreeMap<String, u64> {
         PacketOutcome::ALL
@@ -140,35 +140,35 @@
     }
 }
 
-/// One thread's counts since it last added them to the process's counters. A counter with
-/// attributes costs more than a routing decision, so it is not touched for every packet.
+/// Counts of one thread since its last flush to the process's counters. Adding to a counter with
+/// attributes costs more than a routing decision, so it is not done for every packet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PacketCounts([u64; PacketOutcome::ALL.len()]);
 
 impl PacketCounts {
-    /// Counts one packet.
+    /// Adds one packet.
     pub fn add(&mut self, outcome: PacketOutcome) {
         self.add_many(outcome, 1);
     }
 
-    /// Counts several packets.
+    /// Adds `count` packets with the same outcome.
     pub fn add_many(&mut self, outcome: PacketOutcome, count: u64) {
         self.0[outcome as usize] += count;
     }
 
-    /// How many packets ended so.
+    /// Returns the number of packets with this outcome since the last flush.
     #[must_use]
     pub fn get(&self, outcome: PacketOutcome) -> u64 {
         self.0[outcome as usize]
     }
 
-    /// All packets.
+    /// Returns the number of all packets since the last flush.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
 
-    /// Adds the counts to the process's counters and starts again from zero.
+    /// Adds the counts to the process's counters and resets them to zero.
     pub fn flush(&mut self, metrics: &PacketMetrics) {
         for outcome in PacketOutcome::ALL {
             let count = std::mem::take(&mut self.0[outcome as usize]);
--- a/bins/balancer/src/process.rs
+++ b/bins/balancer/src/process.rs
@@ -1,4 +1,4 @@
-//! The balancer process: start, run, stop.
+//! Lifecycle of the QUIC balancer process: start, run, drain, stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,69 +18,69 @@
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
 
-use crate::control::ControlPort;
-use crate::count::PacketMetrics;
+use crate::control::ControlServer;
 use crate::forward::ForwardState;
-use crate::refresh::{keep_keys, keep_table};
+use crate::metrics::PacketMetrics;
+use crate::refresh::{refresh_table, reload_keys};
 use crate::stop::{StopSignal, drain};
 use crate::threads::start_threads;
 
 /// The binary's name in logs and status.
 const BINARY: &str = "lovagelatch-balancer";
 
-/// Why a balancer could not run.
+/// Errors that prevent a balancer from running.
 #[derive(Debug, Error)]
 pub enum BalancerError {
-    /// The keys cannot be used.
+    /// The key file cannot be read or is invalid.
     #[error(transparent)]
     Keys(#[from] KeyFileError),
-    /// An address cannot be used.
+    /// A configured address cannot be bound.
     #[error("address {address}: {source}")]
     Bind {
-        /// The address.
+        /// The address that was to be bound.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error returned by the operating system.
         source: io::Error,
     },
-    /// Metrics cannot be kept.
+    /// The metrics registry cannot be created.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
-    /// The operating system refused something else that the process needs.
+    /// Another operating system call failed.
     #[error("operating system: {0}")]
     System(#[from] io::Error),
 }
 
-/// Runs a balancer until it is told to stop.
+/// Runs a balancer until it receives SIGTERM or SIGINT and has drained.
 ///
 /// # Errors
 ///
-/// A [`BalancerError`] when it cannot start.
+/// Returns a [`BalancerError`] if the balancer cannot start.
 pub async fn run_balancer(settings: BalancerSettings, log: Logger) -> Result<(), BalancerError> {
     let mut stop = StopSignal::new()?;
-    let parts = BalancerParts::new(&settings, log)?;
-    // The control address first: a process that forwarded before it had that one, and then could
-    // not have it, would end with callers' packets in its hands.
-    let fleet = parts.start_control(&settings.common).await?;
-    let threads = start_threads(&settings, &parts.state, &parts.packets, &parts.log)?;
-    parts.start_upkeep(&settings.common, &fleet);
-    parts.serve_operations(&settings.common, &fleet);
-    info!(parts.log, "balancer runs"; "listen" => settings.listen.to_string(),
+    let context = BalancerContext::new(&settings, log)?;
+    // Bind the control address first: if binding failed after forwarding had started, the process
+    // would exit with callers' packets still queued.
+    let fleet = context.start_control(&settings.common).await?;
+    let threads = start_threads(&settings, &context.state, &context.packets, &context.log)?;
+    context.start_maintenance(&settings.common, &fleet);
+    context.serve_operations(&settings.common, &fleet);
+    info!(context.log, "balancer runs"; "listen" => settings.listen.to_string(),
         "control" => settings.common.control.to_string(), "threads" => settings.common.threads);
 
     stop.wait().await;
-    parts.identity.set_phase(ProcessPhase::Leaving);
+    context.identity.set_phase(ProcessPhase::Leaving);
     let limit = settings.common.limits.drain;
-    info!(parts.log, "balancer stops"; "drain_ms" => millis(limit));
+    info!(context.log, "balancer stops"; "drain_ms" => millis(limit));
     fleet.set_leaving();
-    drain(&parts.state, limit, &mut stop).await;
-    parts.state.ended.store(true, Ordering::Relaxed);
+    drain(&context.state, limit, &mut stop).await;
+    context.state.shutdown.store(true, Ordering::Relaxed);
     join(threads).await;
-    info!(parts.log, "balancer stopped");
+    info!(context.log, "balancer stopped");
     Ok(())
 }
 
-/// What the tasks of one balancer share.
-struct BalancerParts {
+/// State shared by the tasks of one balancer.
+struct BalancerContext {
     keys: Arc<ArcSwap<FleetKeys>>,
     state: Arc<ForwardState>,
     metrics: MetricsRegistry,
@@ -90,7 +90,7 @@
     log: Logger,
 }
 
-impl BalancerParts {
+impl BalancerContext {
     fn new(settings: &BalancerSettings, log: Logger) -> Result<Self, BalancerError> {
         let common = &settings.common;
         let keys = Arc::new(ArcSwap::from_pointee(read_key_file(&common.key_file)?));
@@ -127,18 +127,18 @@
         });
         fleet.register_metrics(&self.meter());
         let keys = Arc::clone(&self.keys);
-        let port = ControlPort::new(fleet.clone(), keys, &self.meter(), self.log.clone());
-        tokio::spawn(port.clone().serve_datagrams(socket));
-        tokio::spawn(port.serve_streams(listener));
+        let server = ControlServer::new(fleet.clone(), keys, &self.meter(), self.log.clone());
+        tokio::spawn(server.clone().serve_datagrams(socket));
+        tokio::spawn(server.serve_streams(listener));
         Ok(fleet)
     }
 
-    /// Keeps table, keys and phase up to date.
-    fn start_upkeep(&self, common: &CommonSettings, fleet: &FleetClient) {
+    /// Starts the tasks that refresh the routing table, reload the keys and set the phase.
+    fn start_maintenance(&self, common: &CommonSettings, fleet: &FleetClient) {
         let state = Arc::clone(&self.state);
-        tokio::spawn(keep_table(fleet.clone(), state, common.limits.drain));
+        tokio::spawn(refresh_table(fleet.clone(), state, common.limits.drain));
         let (file, keys) = (common.key_file.clone(), Arc::clone(&self.keys));
-        tokio::spawn(keep_keys(file, keys, self.log.clone()));
+        tokio::spawn(reload_keys(file, keys, self.log.clone()));
         let (mut fleet, identity) = (fleet.clone(), self.identity.clone());
         tokio::spawn(async move {
             fleet.ready().await;
@@ -148,7 +148,7 @@
         });
     }
 
-    /// Serves health, status, metrics and the phone page.
+    /// Serves health, status, metrics and the status page for phones.
     fn serve_operations(&self, common: &CommonSettings, fleet: &FleetClient) {
         let packets = self.packets.clone();
         let keys = Arc::clone(&self.keys);
@@ -172,7 +172,7 @@
 
 async fn join(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
-        // A thread that panicked has nothing left to end.
+        // A thread that panicked has already ended.
         let _ended = tokio::task::spawn_blocking(|| thread.join()).await;
     }
 }
--- a/bins/balancer/src/step.rs
+++ b/bins/balancer/src/processor.rs
@@ -1,4 +1,4 @@
-//! What is done with one packet.
+//! Routing and sending of one packet.
 
 use std::fmt::Display;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -10,18 +10,18 @@
 use lovagelatch_routing::{FlowRouter, PacketView, RouteDecision, RoutingTable};
 use lovagelatch_wire::{ForwardHeader, open_forward, seal_forward};
 
-use crate::count::PacketOutcome;
+use crate::decision_log::{DecisionLog, FlowPlacement};
+use crate::error_queue::ReturnedDatagram;
 use crate::forward::ForwardPath;
 use crate::ingress::PacketOrigin;
-use crate::notice::{DecisionLog, PlacedNotice};
-use crate::refused::ReturnedDatagram;
+use crate::metrics::PacketOutcome;
 use lovagelatch_network::SendBatch;
 
-/// In a frame's `hops`: another agent was asked before the one that gets it.
-const ASKED_ANOTHER: u8 = 1;
+/// Value of `hops` in a frame that was sent to another agent before.
+const REROUTED_HOPS: u8 = 1;
 
-/// What one packet needs, borrowed for a batch.
-pub(crate) struct PacketStep<'a> {
+/// Processes the packets of one batch with the keys and the routing table loaded for it.
+pub(crate) struct PacketProcessor<'a> {
     pub(crate) path: &'a ForwardPath,
     pub(crate) router: &'a FlowRouter,
     pub(crate) keys: &'a FleetKeys,
@@ -31,11 +31,11 @@
     pub(crate) now: Instant,
 }
 
-impl PacketStep<'_> {
+impl PacketProcessor<'_> {
     pub(crate) fn forward(&mut self, origin: PacketOrigin, datagram: &[u8]) -> PacketOutcome {
         let packet = match PacketView::read(datagram, origin.service_address, self.keys) {
             Ok(packet) => packet,
-            Err(fault) => return self.refuse(PacketOutcome::from(&fault), Some(origin), &fault),
+            Err(error) => return self.refuse(PacketOutcome::from(&error), Some(origin), &error),
         };
         let decision = self.router.route(&packet, self.table);
         let outcome = PacketOutcome::from(&decision);
@@ -46,7 +46,7 @@
             RouteDecision::NewFlow { agent, service, .. }
             | RouteDecision::Reset { agent, service, .. } => {
                 self.push(origin, datagram, agent, service, 0);
-                self.log_placed(&decision, origin, &packet, service);
+                self.log_placement(&decision, origin, &packet, service);
             }
             RouteDecision::Refuse { reason } => {
                 return self.refuse(outcome, Some(origin), &reason);
@@ -55,15 +55,12 @@
         outcome
     }
 
-    /// A frame of ours that came back whole: its tag is right, so nobody made it up. The agent
-    /// that is asked for the reset must not look at its own view first, which may hold the agent
-    /// that ended to be there: as with a packet that was handed on already.
-    pub(crate) fn return_packet(
-        &mut self,
-        returned: &ReturnedDatagram<'_>,
-    ) -> Option<PacketOutcome> {
+    /// Sends a frame that was returned in full to another agent, which resets the flow. The valid
+    /// tag proves that the frame is genuine. `hops` tells the agent to skip its own view, in which
+    /// the ended agent may still be alive, as for a packet that an agent has already forwarded.
+    pub(crate) fn reroute(&mut self, returned: &ReturnedDatagram<'_>) -> Option<PacketOutcome> {
         let (header, datagram) = open_forward(returned.bytes, self.keys).ok()?;
-        if header.hops >= ASKED_ANOTHER {
+        if header.hops >= REROUTED_HOPS {
             return None;
         }
         let origin = PacketOrigin {
@@ -75,8 +72,8 @@
         let decision = self.router.route_returned(&packet, from, self.table)?;
         match decision {
             RouteDecision::Reset { agent, service, .. } => {
-                self.push(origin, datagram, agent, service, ASKED_ANOTHER);
-                self.log_placed(&decision, origin, &packet, service);
+                self.push(origin, datagram, agent, service, REROUTED_HOPS);
+                self.log_placement(&decision, origin, &packet, service);
                 Some(PacketOutcome::Returned)
             }
             RouteDecision::Refuse { reason } => {
@@ -109,7 +106,7 @@
         let path = self.path.path;
         let hop = to_ipv4(path.next_hop(agent.0)).unwrap_or(agent.0);
         let keys = self.keys;
-        // The batch has room: it is as long as the one received.
+        // Cannot overflow: the send batch is as large as the receive batch.
         self.sending.push(hop, |out| {
             path.start_datagram(&ends, out);
             seal_forward(&header, datagram, keys, out);
@@ -126,7 +123,7 @@
         outcome
     }
 
-    fn log_placed(
+    fn log_placement(
         &mut self,
         decision: &RouteDecision,
         origin: PacketOrigin,
@@ -134,14 +131,14 @@
         service: ServiceId,
     ) {
         let name = self.table.service_name(service);
-        let notice = PlacedNotice {
+        let placement = FlowPlacement {
             decision,
             origin,
             service: name.map_or("", |name| name.as_str()),
             flow_key: packet.flow_key,
             revision: self.table.revision().0,
         };
-        self.log.placed(&notice, self.now);
+        self.log.placed(&placement, self.now);
     }
 }
 
--- a/bins/balancer/src/refresh.rs
+++ b/bins/balancer/src/refresh.rs
@@ -1,4 +1,4 @@
-//! Keeping keys and routing table new while packets flow.
+//! Background tasks that refresh the keys and the routing table.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,79 +14,82 @@
 
 use crate::forward::ForwardState;
 
-/// How often the view is looked at. Changes of instances that come together are followed as one: in a large
-/// fleet each costs milliseconds.
-const VIEW_PERIOD: Duration = Duration::from_millis(200);
+/// Interval at which the view is polled. Instance changes within one interval are applied together,
+/// since each update costs milliseconds in a large fleet.
+const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often the key file is looked at.
-const KEY_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the key file is checked for changes.
+const KEY_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often rows of buckets are made for services that get new flows, and given up for others.
-const TEND_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which bucket tables are built for services with new flows and dropped for others.
+const BUCKET_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Memory for rows of buckets, in bytes: 512 services of up to 64 targets, or 16 of a thousand.
-const ROW_BUDGET_BYTES: usize = 2 * 1024 * 1024;
+/// Memory limit for bucket tables: enough for 512 services of up to 64 targets, or 16 of a
+/// thousand.
+const BUCKET_BUDGET_BYTES: usize = 2 * 1024 * 1024;
 
-/// How often the agents that are gone are worked out again, since they become so by time alone.
-const ABSENCE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the gone agents are recomputed even if the view is unchanged, since an agent
+/// becomes gone by the passing of time.
+const ABSENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes a new routing table whenever the view changes, for ever. An agent that is off the list
-/// for longer than twice `drain` is taken to be gone.
-pub(crate) async fn keep_table(fleet: FleetClient, state: Arc<ForwardState>, drain: Duration) {
-    let mut keeper = TableKeeper::new(drain);
+/// Builds a new routing table whenever the view changes; never returns. An agent that has been off
+/// the list for longer than twice `drain` counts as gone.
+pub(crate) async fn refresh_table(fleet: FleetClient, state: Arc<ForwardState>, drain: Duration) {
+    let mut updater = TableUpdater::new(drain);
     let mut revisions = fleet.revisions();
-    let mut tended = fleet.now();
+    let mut last_bucket_refresh = fleet.now();
     loop {
-        keeper.step(&fleet.view(), fleet.now(), &state);
-        if fleet.now().since(tended) >= TEND_PERIOD {
-            tended = fleet.now();
-            tend_table(&state).await;
+        updater.update(&fleet.view(), fleet.now(), &state);
+        if fleet.now().since(last_bucket_refresh) >= BUCKET_REFRESH_INTERVAL {
+            last_bucket_refresh = fleet.now();
+            refresh_buckets(&state).await;
         }
         tokio::select! {
-            () = tokio::time::sleep(VIEW_PERIOD) => {}
-            // A configuration is put into force at once.
+            () = tokio::time::sleep(VIEW_POLL_INTERVAL) => {}
+            // A new configuration is applied immediately.
             Ok(()) = revisions.changed() => {}
         }
     }
 }
 
-/// Makes rows of buckets beside the packet path. Nobody else stores a table meanwhile: whoever
-/// follows the view waits for this.
-async fn tend_table(state: &ForwardState) {
+/// Rebuilds bucket tables on a blocking thread, off the packet path. No other table can be stored
+/// meanwhile, since the caller, which follows the view, waits for the result.
+async fn refresh_buckets(state: &ForwardState) {
     let table = state.table.load_full();
-    let tended = tokio::task::spawn_blocking(move || table.refresh_buckets(ROW_BUDGET_BYTES)).await;
-    if let Ok(Some(table)) = tended {
+    let refreshed =
+        tokio::task::spawn_blocking(move || table.refresh_buckets(BUCKET_BUDGET_BYTES)).await;
+    if let Ok(Some(table)) = refreshed {
         state.table.store(Arc::new(table));
     }
 }
 
-/// Follows the view.
-struct TableKeeper {
-    held: Arc<FleetView>,
+/// Updates the routing table when the view or the set of gone agents changes.
+struct TableUpdater {
+    view: Arc<FleetView>,
     absences: AbsenceTracker,
     gone: Vec<AgentAddress>,
-    looked: Moment,
+    last_check: Moment,
 }
 
-impl TableKeeper {
+impl TableUpdater {
     fn new(drain: Duration) -> Self {
         Self {
-            held: Arc::default(),
+            view: Arc::default(),
             absences: AbsenceTracker::new(2 * drain),
             gone: Vec::new(),
-            looked: Moment::ZERO,
+            last_check: Moment::ZERO,
         }
     }
 
-    fn step(&mut self, view: &Arc<FleetView>, now: Moment, state: &ForwardState) {
-        let changed = !Arc::ptr_eq(view, &self.held);
-        if !changed && now.since(self.looked) < ABSENCE_PERIOD {
+    fn update(&mut self, view: &Arc<FleetView>, now: Moment, state: &ForwardState) {
+        let changed = !Arc::ptr_eq(view, &self.view);
+        if !changed && now.since(self.last_check) < ABSENCE_CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
-        let change = ViewChange::between(&self.held, view);
-        self.absences.record(&self.held, view, &change, now);
-        self.held = Arc::clone(view);
+        self.last_check = now;
+        let change = ViewChange::between(&self.view, view);
+        self.absences.record(&self.view, view, &change, now);
+        self.view = Arc::clone(view);
         let gone: Vec<AgentAddress> = self.absences.gone(now).collect();
         if changed || gone != self.gone {
             self.gone = gone;
@@ -95,24 +98,24 @@
     }
 
     fn store(&self, change: &ViewChange, state: &ForwardState) {
-        let earlier = state.table.load();
-        let table = earlier.with_change(&self.held, change);
+        let previous = state.table.load();
+        let table = previous.with_change(&self.view, change);
         let table = table.with_gone(self.gone.iter().copied());
         state.table.store(Arc::new(table));
     }
 }
 
-/// Reads the key file again whenever it changes, for ever. A file that cannot be used leaves
-/// the keys as they are.
-pub(crate) async fn keep_keys(file: PathBuf, keys: Arc<ArcSwap<FleetKeys>>, log: Logger) {
-    let mut seen = modified(&file);
+/// Reloads the key file whenever it changes; never returns. If the file is invalid, the current
+/// keys stay in use.
+pub(crate) async fn reload_keys(file: PathBuf, keys: Arc<ArcSwap<FleetKeys>>, log: Logger) {
+    let mut last_modified = modified(&file);
     loop {
-        tokio::time::sleep(KEY_PERIOD).await;
-        let now = modified(&file);
-        if now == seen {
+        tokio::time::sleep(KEY_POLL_INTERVAL).await;
+        let current = modified(&file);
+        if current == last_modified {
             continue;
         }
-        seen = now;
+        last_modified = current;
         match read_key_file(&file) {
             Ok(read) => {
                 let generations: Vec<_> = read.generations().map(|g| g.to_string()).collect();
--- a/bins/balancer/src/stop.rs
+++ b/bins/balancer/src/stop.rs
@@ -1,4 +1,4 @@
-//! Ending a balancer without losing a packet.
+//! Graceful shutdown: stop signals and draining.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -8,13 +8,13 @@
 
 use crate::forward::ForwardState;
 
-/// A stop ends when no packet has arrived for this long: the fabric no longer sends here.
+/// The drain ends when no packet has arrived for this long: the fabric no longer sends here.
 const QUIET_PERIOD: Duration = Duration::from_secs(1);
 
-/// How often a stop looks whether packets still arrive.
-const DRAIN_STEP: Duration = Duration::from_millis(50);
+/// Interval at which the drain checks whether packets still arrive.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT.
 pub(crate) struct StopSignal {
     terminate: Signal,
     interrupt: Signal,
@@ -36,12 +36,12 @@
     }
 }
 
-/// Keeps forwarding until the fabric sends nothing here any more, the limit is over, or a
-/// second signal comes.
+/// Waits until the fabric stops sending packets here, `limit` expires, or a second signal arrives.
+/// The packet threads keep forwarding meanwhile.
 ///
-/// What goes wrong without it: the fabric goes on sending to an instance for a while after it
-/// began to stop, and each such packet would be lost; callers notice as a stall of one
-/// retransmission timeout. Nothing else has to be handed over, since there is no flow state.
+/// The fabric keeps sending to an instance for a while after it starts to stop. Without the drain
+/// these packets would be lost, and callers would stall for a retransmission timeout. Nothing else
+/// needs to be handed over, since there is no flow state.
 pub(crate) async fn drain(state: &ForwardState, limit: Duration, stop: &mut StopSignal) {
     tokio::select! {
         () = wait_for_quiet(state) => {}
@@ -54,10 +54,10 @@
     let mut seen = state.received.load(Ordering::Relaxed);
     let mut quiet = Duration::ZERO;
     while quiet < QUIET_PERIOD {
-        tokio::time::sleep(DRAIN_STEP).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         let received = state.received.load(Ordering::Relaxed);
         quiet = if received == seen {
-            quiet + DRAIN_STEP
+            quiet + DRAIN_POLL_INTERVAL
         } else {
             Duration::ZERO
         };
--- a/bins/balancer/src/threads.rs
+++ b/bins/balancer/src/threads.rs
@@ -1,4 +1,4 @@
-//! The sockets of the packet path and the threads that serve them.
+//! Sockets and threads of the packet path.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -10,26 +10,26 @@
 use lovagelatch_telemetry::{Logger, error};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::count::PacketMetrics;
 use crate::forward::{ForwardPath, ForwardState, PacketForwarder};
 use crate::ingress::PacketIngress;
+use crate::metrics::PacketMetrics;
 use crate::process::BalancerError;
 
-/// Asked-for kernel buffer of the listening socket, in bytes: room for a burst while the packet
+/// Requested kernel receive buffer of the listening socket: absorbs a burst while the packet
 /// threads are descheduled.
 const RECEIVE_BUFFER_BYTES: usize = 4 * 1024 * 1024;
 
-/// How long a packet thread waits for a packet before it looks whether to end.
+/// Receive timeout after which a packet thread checks whether to exit.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Binds the listening address and starts the packet threads on it.
+/// Binds the listening address and starts the packet threads.
 pub(crate) fn start_threads(
     settings: &BalancerSettings,
     state: &Arc<ForwardState>,
     metrics: &PacketMetrics,
     log: &Logger,
 ) -> Result<Vec<JoinHandle<()>>, BalancerError> {
-    let listen = Arc::new(open_listen(settings)?);
+    let listen = Arc::new(open_listen_socket(settings)?);
     let address = match listen.local_addr()? {
         SocketAddr::V4(address) => address,
         SocketAddr::V6(_) => settings.listen,
@@ -41,11 +41,11 @@
     };
     let mut threads = Vec::with_capacity(settings.common.threads);
     for number in 0..settings.common.threads {
-        let out = open_out(settings)?;
+        let out = open_send_socket(settings)?;
         let listen = Arc::clone(&listen);
         let log = log.clone();
         let (state, path, metrics) = (Arc::clone(state), path.clone(), metrics.clone());
-        // The buffers belong to the thread: its system calls hold pointers into them.
+        // The forwarder is created on its thread: system calls hold pointers into its buffers.
         let body = move || {
             let mut forwarder = PacketForwarder::new(state, path, metrics, log.clone());
             if let Err(failure) = forwarder.run(&listen, &out) {
@@ -58,11 +58,11 @@
     Ok(threads)
 }
 
-fn open_listen(settings: &BalancerSettings) -> Result<UdpSocket, BalancerError> {
+fn open_listen_socket(settings: &BalancerSettings) -> Result<UdpSocket, BalancerError> {
     let address = SocketAddr::V4(settings.listen);
     let bind = |source| BalancerError::Bind { address, source };
     let socket = Socket::new(Domain::IPV4, Type::DGRAM, Some(Protocol::UDP))?;
-    // The kernel gives what its limits allow.
+    // The kernel may grant less, depending on its limits.
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
     socket.bind(&address.into()).map_err(bind)?;
@@ -73,8 +73,8 @@
     Ok(socket)
 }
 
-/// A thread's own socket for sending, so that threads do not wait for one another.
-fn open_out(settings: &BalancerSettings) -> Result<UdpSocket, BalancerError> {
+/// Opens a send socket for one thread, so that threads do not contend for a shared one.
+fn open_send_socket(settings: &BalancerSettings) -> Result<UdpSocket, BalancerError> {
     let address = SocketAddr::from((*settings.common.control.0.ip(), 0));
     UdpSocket::bind(address).map_err(|source| BalancerError::Bind { address, source })
 }
--- a/bins/balancer/tests/all/support.rs
+++ b/bins/balancer/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! A packet thread between two sockets of the test.
+//! Test rig: a packet thread between two sockets of the test.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket};
@@ -26,14 +26,14 @@
     SocketAddrV4::new(Ipv4Addr::new(127, 20, 0, 1), 4433);
 pub(crate) const CALLER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 30, 0, 1), 50_000);
 
-/// How long a datagram that should come may take; far longer than loopback needs.
-const ARRIVAL_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout for an expected datagram; far longer than loopback needs.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(crate) fn secret(generation: u8) -> KeySecret {
     KeySecret::from_bytes(KeyGeneration(generation), [generation; 32])
 }
 
-/// A ring of these generations, the first one current.
+/// Returns a key ring of these generations; the first is the current one.
 pub(crate) fn ring(generations: &[u8]) -> FleetKeys {
     let secrets: Vec<KeySecret> = generations.iter().copied().map(secret).collect();
     FleetKeys::new(&secrets).expect("the generations make a ring")
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the fabric hands in for a caller's datagram.
+/// Returns a caller's datagram as the fabric delivers it, with a PROXY header.
 pub(crate) fn proxied(service_address: SocketAddrV4, datagram: &[u8]) -> Vec<u8> {
     let ends = PacketEnds {
         source: CALLER,
@@ -80,11 +80,11 @@
     datagram
 }
 
-/// Waits for one datagram.
+/// Waits for one datagram; returns `None` after a timeout.
 pub(crate) fn receive(socket: &UdpSocket) -> Option<Vec<u8>> {
     let start = Instant::now();
     let mut buffer = [0; 4_096];
-    while start.elapsed() < ARRIVAL_LIMIT {
+    while start.elapsed() < RECEIVE_TIMEOUT {
         if let Ok((length, _)) = socket.recv_from(&mut buffer) {
             return Some(buffer[..length].to_vec());
         }
@@ -92,7 +92,7 @@
     None
 }
 
-/// A packet thread whose only target's agent is `sink`.
+/// Runs a packet thread; `sink` is the agent of the only target.
 pub(crate) struct ForwardRig {
     pub(crate) state: Arc<ForwardState>,
     pub(crate) sink: UdpSocket,
@@ -140,12 +140,12 @@
         AgentAddress(address(&self.sink))
     }
 
-    /// Puts a table into force in which claims has this address and the sink as its target.
+    /// Sets a routing table in which claims has this address and the sink as its only agent.
     pub(crate) fn set_table(&self, service_address: SocketAddrV4) {
         self.set_targets(service_address, &[self.agent()]);
     }
 
-    /// Puts a table into force in which claims has this address and these agents.
+    /// Sets a routing table in which claims has this address and these agents.
     pub(crate) fn set_targets(&self, service_address: SocketAddrV4, agents: &[AgentAddress]) {
         let target = |&agent: &AgentAddress| RingTarget {
             agent,
@@ -170,9 +170,9 @@
         Some((header, datagram.to_vec()))
     }
 
-    /// Ends the thread; returns its counts, those that are not zero.
+    /// Stops the thread and returns its non-zero counts.
     pub(crate) fn finish(mut self) -> BTreeMap<String, u64> {
-        self.state.ended.store(true, Ordering::Relaxed);
+        self.state.shutdown.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             thread.join().expect("no panic");
         }
