--- a/bins/balancer/tests/all/forwarding.rs
+++ b/bins/balancer/tests/all/forwarding.rs
@@ -1,4 +1,4 @@
-//! The packet path, from a datagram that the fabric hands in to the frame at an agent.
+//! Tests of the packet path, from a datagram of the fabric to the frame at an agent.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -54,7 +54,7 @@
             break;
         };
         rig.send(&case.bytes);
-        // The datagram behind it shows that the bad one was passed over.
+        // A valid datagram sent after it shows that the bad one was skipped.
         let good = open_flow(rig.agent(), CLAIMS, &ring(&[1]));
         rig.send(&proxied(CLAIMS_ADDRESS, &good));
         let forwarded = rig.forwarded().map(|(_, datagram)| datagram);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_agent_learns_who_called_and_where() {
+fn a_frame_carries_caller_and_service_address() {
     let rig = ForwardRig::new(IngressKind::ProxyV2);
     let largest = initial(MAX_DATAGRAM_BYTES);
     rig.send(&proxied(CLAIMS_ADDRESS, &largest));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn without_a_fabric_the_socket_tells_the_service_address() {
+fn direct_ingress_reads_the_service_address_from_the_socket() {
     let rig = ForwardRig::new(IngressKind::Direct);
     rig.set_table(rig.entry);
     rig.send(&initial(1_200));
@@ -89,9 +89,9 @@
     assert_eq!(rig.finish(), [("placed".to_owned(), 1)].into());
 }
 
-/// Symptom: every open flow breaks when the operator rotates the fleet key. Sequence: a flow is
-/// open under key 1; the balancer takes up key 2 beside it, then in its place. Cause: a packet
-/// path that holds its keys, or drops the old one at once.
+/// Guards against open flows that break when the operator rotates the fleet key. A flow is open
+/// under key 1 when key 2 is added and then made current. It would break if the packet path cached
+/// its keys or dropped the old key immediately.
 #[test]
 fn a_rotation_under_traffic_breaks_no_flow() {
     let rig = ForwardRig::new(IngressKind::ProxyV2);
@@ -104,9 +104,9 @@
     assert_eq!(rig.finish(), [("forwarded".to_owned(), 3)].into());
 }
 
-/// Symptom: a caller aims all its flows at one agent. Sequence: it chooses connection IDs by a hash
-/// that everybody can compute. Cause: a packet path that places flows without the fleet key, or
-/// by another key than the agents, which hand flows on in the same order.
+/// Guards against a caller that directs all its flows to one agent by choosing connection IDs. This
+/// would be possible if flows were placed by a hash without the fleet key. The key must also be
+/// the one that agents use, which forward flows in the same order.
 #[test]
 fn new_flows_are_placed_by_the_oldest_key() {
     for generations in [&[1][..], &[1, 2], &[2, 1]] {
@@ -135,8 +135,9 @@
     }
 }
 
-/// Symptom: a feed breaks while a service's targets change. Sequence: a flow is open; the view
-/// loses the service, or is empty as on a fresh balancer. Cause: open flows placed by the view.
+/// Guards against feeds that break while a service's targets change. A flow is open when the view
+/// loses the service, or is empty as on a new balancer. It would break if packets of open flows
+/// were routed by the view.
 #[test]
 fn an_open_flow_needs_no_view() {
     let rig = ForwardRig::new(IngressKind::ProxyV2);
--- a/bins/balancer/tests/all/main.rs
+++ b/bins/balancer/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the balancer: its packet path in this process, and the real binary.
+//! Tests of the balancer: the packet path in the test process, and the real binary.
 
 mod forwarding;
 mod process;
--- a/bins/balancer/tests/all/process.rs
+++ b/bins/balancer/tests/all/process.rs
@@ -1,4 +1,4 @@
-//! The real binary.
+//! Tests of the real binary.
 
 use std::fs;
 use std::io::Read;
@@ -15,19 +15,19 @@
     CLAIMS, CLAIMS_ADDRESS, address, bind, open_flow, proxied, receive, ring, secret,
 };
 
-const STEP: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Lines of a process's log are gathered for up to 200 ms before they are written.
+/// A process buffers its log lines for up to 200 ms before they are written.
 const LOG_DELAY: Duration = Duration::from_millis(300);
 
-/// How long a process may take to start or to end; a test that waits longer fails.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for a process to start or to exit.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 
 const START_ATTEMPTS: usize = 5;
 
 static NEXT_DIRECTORY: AtomicU32 = AtomicU32::new(0);
 
-/// The binary takes its ports from its settings, so a free one is looked for first.
+/// Returns a free address. The binary reads its ports from its settings, so they are chosen first.
 fn free_address() -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let port = listener.local_addr().expect("bound").port();
@@ -36,7 +36,7 @@
 
 const KEY_FILE: &str = "fleet.keys";
 
-/// Writes a key file with these generations, the first one current.
+/// Writes a key file with these generations; the first is the current one.
 fn write_keys(directory: &Path, generations: &[u8]) {
     let mut text = format!("[keys]\ncurrent = {}\n", generations[0]);
     for &generation in generations {
@@ -48,7 +48,7 @@
     fs::rename(fresh, directory.join(KEY_FILE)).expect("the same directory");
 }
 
-/// A running balancer without a platform: it knows no view.
+/// A running balancer without a platform, and hence with an empty view.
 pub(crate) struct RunningBalancer {
     child: Child,
     directory: PathBuf,
@@ -60,15 +60,15 @@
 }
 
 impl RunningBalancer {
-    /// Between the moment a free port is found and the balancer binds it, another test may have
-    /// been given it; only then is the start tried again, with other ports.
+    /// Starts a balancer. Another test may take a free port before the balancer binds it; only in
+    /// this case is the start retried with other ports.
     pub(crate) fn start(drain: Duration) -> Self {
         (0..START_ATTEMPTS)
             .find_map(|_| Self::try_start(drain))
             .expect("free ports")
     }
 
-    /// `None` when a port was taken meanwhile.
+    /// Returns `None` if a port was taken in the meantime.
     fn try_start(drain: Duration) -> Option<Self> {
         let number = NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed);
         let name = format!("lovagelatch-balancer-{}-{number}", std::process::id());
@@ -107,7 +107,7 @@
         started.then_some(balancer)
     }
 
-    /// Replaces the key file as an operator's command does: whole, by renaming.
+    /// Replaces the key file atomically by renaming, as the operators' command does.
     pub(crate) fn rotate(&self, generations: &[u8]) {
         write_keys(&self.directory, generations);
     }
@@ -118,7 +118,7 @@
     }
 
     pub(crate) fn send(&self, bytes: &[u8]) {
-        // While the balancer starts or after it ended, the network refuses.
+        // Fails while the balancer is starting or after it has exited.
         let _ = self.caller.send_to(bytes, self.listen);
     }
 
@@ -128,12 +128,15 @@
         self.sink.recv_from(&mut buffer).is_ok()
     }
 
-    /// Returns `false` when the balancer ended because a port was taken.
+    /// Returns `false` if the balancer exited because a port was taken.
     fn wait_until_forwarding(&mut self) -> bool {
         let start = Instant::now();
         while !self.forwards() {
-            assert!(start.elapsed() < LIMIT, "the balancer forwards nothing");
-            if self.lacks_a_port() {
+            assert!(
+                start.elapsed() < PROCESS_TIMEOUT,
+                "the balancer forwards nothing"
+            );
+            if self.lost_a_port() {
                 return false;
             }
         }
@@ -142,23 +145,26 @@
         true
     }
 
-    /// A balancer forwards before its other addresses are bound; one that finds such an address
-    /// taken ends, or goes on without operations, in the middle of a test. Returns `false` then.
+    /// Waits until operations are served. A balancer forwards before all its addresses are bound;
+    /// if one is taken, it exits or runs without operations. Returns `false` in this case.
     fn wait_until_serving(&mut self) -> bool {
         let start = Instant::now();
         while TcpStream::connect(self.operations).is_err() {
-            assert!(start.elapsed() < LIMIT, "operations are not served");
-            std::thread::sleep(STEP);
-            if self.lacks_a_port() {
+            assert!(
+                start.elapsed() < PROCESS_TIMEOUT,
+                "operations are not served"
+            );
+            std::thread::sleep(POLL_INTERVAL);
+            if self.lost_a_port() {
                 return false;
             }
         }
         std::thread::sleep(LOG_DELAY);
-        !self.lacks_a_port()
+        !self.lost_a_port()
     }
 
-    /// Whether another test was given one of its ports meanwhile.
-    fn lacks_a_port(&mut self) -> bool {
+    /// Returns whether another test has taken one of the balancer's ports.
+    fn lost_a_port(&mut self) -> bool {
         let log = self.log();
         let taken = log.contains("Address already in use") || log.contains("not served");
         let ended = self.child.try_wait().expect("own child").is_some();
@@ -175,14 +181,17 @@
         let start = Instant::now();
         while !self.log().contains(text) {
             let log = self.log();
-            assert!(start.elapsed() < LIMIT, "the log lacks {text:?}: {log}");
-            std::thread::sleep(STEP);
+            assert!(
+                start.elapsed() < PROCESS_TIMEOUT,
+                "the log lacks {text:?}: {log}"
+            );
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
     fn terminate(&self) {
         let process = i32::try_from(self.child.id()).expect("a process number");
-        // SAFETY: sends a signal to the child that this test started and has not waited for.
+        // SAFETY: signals a child that this test has started and not yet waited for.
         let result = unsafe { libc::kill(process, libc::SIGTERM) };
         assert_eq!(result, 0);
     }
@@ -193,8 +202,11 @@
             if let Some(status) = self.child.try_wait().expect("own child") {
                 return status;
             }
-            assert!(start.elapsed() < LIMIT, "the balancer does not end");
-            std::thread::sleep(STEP);
+            assert!(
+                start.elapsed() < PROCESS_TIMEOUT,
+                "the balancer does not end"
+            );
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -204,7 +216,7 @@
         if std::thread::panicking() {
             eprintln!("the balancer's log:\n{}", self.log());
         }
-        // It may have ended already.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.directory);
@@ -212,7 +224,7 @@
 }
 
 #[test]
-fn garbage_neither_ends_it_nor_reaches_an_agent() {
+fn invalid_datagrams_neither_end_the_process_nor_reach_an_agent() {
     let balancer = RunningBalancer::start(Duration::from_secs(5));
     for length in 0..200_usize {
         let byte = u8::try_from(length).expect("below 200");
@@ -225,9 +237,8 @@
     assert!(frame.windows(datagram.len()).any(|part| part == datagram));
 }
 
-/// Symptom: packets are lost for a moment whenever a balancer is replaced. Sequence: the balancer
-/// is told to stop; the fabric goes on sending to it for a while. Cause: a stop that ends at
-/// once.
+/// Guards against packet loss when a balancer is replaced. The fabric keeps sending to a balancer
+/// for a while after it was told to stop, so an immediate exit would lose these packets.
 #[test]
 fn a_stopping_balancer_forwards_until_nothing_comes() {
     let mut balancer = RunningBalancer::start(Duration::from_secs(60));
@@ -236,7 +247,7 @@
     while start.elapsed() < Duration::from_millis(1_500) {
         balancer.send(&balancer.flow());
         assert!(receive(&balancer.sink).is_some(), "lost while stopping");
-        std::thread::sleep(STEP);
+        std::thread::sleep(POLL_INTERVAL);
     }
     assert!(balancer.wait().success());
 }
@@ -266,41 +277,41 @@
             balancer.terminate();
             for _ in 0..10 {
                 balancer.send(&balancer.flow());
-                std::thread::sleep(STEP);
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
         let start = Instant::now();
         while balancer.child.try_wait().expect("own child").is_none() {
-            assert!(start.elapsed() < LIMIT, "{}", case.name);
+            assert!(start.elapsed() < PROCESS_TIMEOUT, "{}", case.name);
             balancer.send(&balancer.flow());
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
         }
         assert!(balancer.wait().success(), "{}", case.name);
     }
 }
 
 #[test]
-fn a_bad_start_is_one_clear_error() {
+fn an_invalid_start_reports_a_clear_error() {
     struct StartCase {
         name: &'static str,
         arguments: &'static [&'static str],
-        says: &'static str,
+        message: &'static str,
     }
     let cases = [
         StartCase {
             name: "no settings",
             arguments: &[],
-            says: "--settings",
+            message: "--settings",
         },
         StartCase {
             name: "a file that is not there",
             arguments: &["--settings", "/nonexistent/balancer.ini"],
-            says: "/nonexistent/balancer.ini",
+            message: "/nonexistent/balancer.ini",
         },
         StartCase {
             name: "a file that holds no settings",
             arguments: &["--settings", "/dev/null"],
-            says: "listen",
+            message: "listen",
         },
     ];
     for case in cases {
@@ -313,6 +324,6 @@
         let mut stderr = child.stderr.take().expect("piped");
         stderr.read_to_string(&mut text).expect("text");
         assert!(!child.wait().expect("own child").success(), "{}", case.name);
-        assert!(text.contains(case.says), "{}: {text}", case.name);
+        assert!(text.contains(case.message), "{}: {text}", case.name);
     }
 }
--- a/bins/balancer/tests/all/refused.rs
+++ b/bins/balancer/tests/all/refused.rs
@@ -1,4 +1,4 @@
-//! Packets for an agent whose process has ended while its host runs.
+//! Tests with an agent whose process has ended while its host is up.
 
 use std::time::{Duration, Instant};
 
@@ -10,23 +10,23 @@
     CALLER, CLAIMS, CLAIMS_ADDRESS, ForwardRig, address, bind, open_flow, proxied, receive, ring,
 };
 
-/// How soon the caller's packet must be with an agent that resets its flow. It took seconds
-/// before: until peers had suspected the dead agent for long.
+/// Time within which the caller's packet must reach an agent that resets its flow. Without ICMP
+/// errors it took seconds, until peers had suspected the ended agent for long enough.
 const RESET_LIMIT: Duration = Duration::from_secs(1);
 
-/// An address at which nobody listens any more.
+/// Returns an agent address whose port is closed.
 fn ended_agent() -> AgentAddress {
     AgentAddress(address(&bind()))
 }
 
-/// A caller's small packet of a flow that `agent` held.
+/// Returns a caller's small packet of a flow that `agent` held.
 fn packet_of(agent: AgentAddress) -> Vec<u8> {
     proxied(CLAIMS_ADDRESS, &open_flow(agent, CLAIMS, &ring(&[1])))
 }
 
-/// Symptom: after an agent's process crashes, its callers hear nothing for up to 19 s. Sequence:
-/// the process ends; its host answers every forwarded packet with "port unreachable"; the list
-/// and the peers learn of it later. Cause: a balancer that does not read these answers.
+/// Guards against callers that get no answer for up to 19 s after an agent's process crashes. Its
+/// host answers every forwarded packet with "port unreachable" long before the list and the peers
+/// detect the crash, so a balancer that ignored these ICMP errors would delay the reset.
 #[test]
 fn a_flow_of_an_ended_agent_is_reset_within_a_second() {
     let rig = ForwardRig::new(IngressKind::ProxyV2);
@@ -38,7 +38,7 @@
     let taken = start.elapsed();
     println!("one packet, then nothing: {} us", taken.as_micros());
     assert!(taken < RESET_LIMIT, "{taken:?}");
-    // With one hop behind it, the agent resets the flow without asking its own view.
+    // With `hops` at 1, the agent resets the flow without consulting its own view.
     assert_eq!((header.hops, header.caller), (1, CALLER));
     assert_eq!(header.service, CLAIMS);
     let packet = PacketView::read(&datagram, CLAIMS_ADDRESS, &ring(&[1])).expect("a packet");
@@ -47,18 +47,18 @@
     assert_eq!(rig.finish(), expected.into());
 }
 
-/// Symptom: packets of healthy flows are lost whenever some agent crashes. Sequence: the kernel
-/// tells of a host's answer by failing the next send, which is for another agent. Cause: a failed
-/// send that is not tried again.
+/// Guards against losing packets of healthy flows when some agent crashes. The kernel reports an
+/// ICMP error by failing the next send, which may be to another agent, so that send must be
+/// retried.
 #[test]
-fn an_ended_agent_costs_no_packet_of_others() {
+fn an_ended_agent_loses_no_packets_of_other_agents() {
     const ROUNDS: usize = 10;
-    /// Few enough for the buffers of the test's own sockets.
+    /// Few enough to fit into the buffers of the test's sockets.
     const PACKETS: usize = 20;
     let rig = ForwardRig::new(IngressKind::ProxyV2);
     let ended = ended_agent();
     rig.set_targets(CLAIMS_ADDRESS, &[rig.agent(), ended]);
-    let (mut own, mut returned) = (0, 0);
+    let (mut direct, mut returned) = (0, 0);
     for _ in 0..ROUNDS {
         for _ in 0..PACKETS {
             rig.send(&packet_of(ended));
@@ -67,22 +67,22 @@
         for _ in 0..2 * PACKETS {
             let (header, _) = rig.forwarded().expect("all come through");
             let count = if header.hops == 0 {
-                &mut own
+                &mut direct
             } else {
                 &mut returned
             };
             *count += 1;
         }
     }
-    assert_eq!((own, returned), (ROUNDS * PACKETS, ROUNDS * PACKETS));
+    assert_eq!((direct, returned), (ROUNDS * PACKETS, ROUNDS * PACKETS));
     let totals = rig.finish();
     assert_eq!(totals.get("not_sent"), None, "{totals:?}");
 }
 
-/// Symptom: a packet circles between balancer and ended agents. Sequence: all agents of a
-/// service end at once. Cause: a packet that came back twice and is sent out again.
+/// Guards against a packet that loops between the balancer and ended agents when all agents of a
+/// service end at once: a packet that is returned a second time must be dropped.
 #[test]
-fn a_packet_comes_back_once() {
+fn a_returned_packet_is_rerouted_once() {
     let rig = ForwardRig::new(IngressKind::ProxyV2);
     let (one, other) = (ended_agent(), ended_agent());
     rig.set_targets(CLAIMS_ADDRESS, &[one, other]);
@@ -92,10 +92,10 @@
     assert_eq!(rig.finish(), expected.into());
 }
 
-/// A host quotes 520 bytes of what it refuses: the largest frame that comes back whole is taken,
-/// a larger one is left alone.
+/// A host quotes at most 520 bytes of an undeliverable datagram. The largest frame that is quoted
+/// in full is rerouted; a larger one is ignored.
 #[test]
-fn what_a_host_quotes_whole_is_taken() {
+fn a_frame_quoted_in_full_is_rerouted() {
     const LARGEST: usize = 476;
     let rig = ForwardRig::new(IngressKind::ProxyV2);
     let ended = ended_agent();
@@ -111,7 +111,7 @@
     assert_eq!(rig.finish(), expected.into());
 }
 
-/// Nobody else is left to reset the flow; the packet is dropped and counted.
+/// No other agent is left to reset the flow; the packet is dropped and counted.
 #[test]
 fn without_another_agent_a_packet_is_dropped() {
     let rig = ForwardRig::new(IngressKind::ProxyV2);
--- a/bins/balancer/tests/all/upgrade.rs
+++ b/bins/balancer/tests/all/upgrade.rs
@@ -1,4 +1,4 @@
-//! A balancer beside one of the next release, which speaks another wire version.
+//! Compatibility with processes of the next release, which use another wire version.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddrV4, TcpStream, UdpSocket};
@@ -16,8 +16,7 @@
 
 const REFUSED: &str = "lovagelatch_control_frames_refused_total";
 
-/// A probe as a process of this wire version sends it, or one of the next release: with its
-/// version, and a tag that is right for it.
+/// Returns a probe of the given wire version with a valid tag.
 fn probe(version: u8, sender: &UdpSocket, keys: &FleetKeys) -> Vec<u8> {
     let message = MemberMessage::Probe(AgentAddress(address(sender)));
     let frame = seal_message(FrameKind::Membership, &message, keys);
@@ -38,7 +37,7 @@
     text
 }
 
-/// The sum of a counter's series.
+/// Returns the sum over all series of the counter of refused frames.
 fn refused(balancer: &RunningBalancer) -> f64 {
     let text = get(balancer.operations, "/metrics");
     let lines = text.lines().filter(|line| line.starts_with(REFUSED));
@@ -46,9 +45,9 @@
     values.sum()
 }
 
-/// Symptom: an upgrade of half the fleet disturbs the other half. Sequence: processes of two wire
-/// versions send to one control address; frames of the next version come between those of this
-/// one. Cause: a version that is not looked at first, or one bad frame that ends the socket.
+/// Guards against an upgrade of half the fleet that disturbs the other half. Frames of the next
+/// wire version arrive between frames of this one at the same control address. The version must be
+/// checked first, and an unsupported frame must not close the socket.
 #[test]
 fn frames_of_the_next_version_are_refused_between_those_of_this_one() {
     const ROUNDS: u8 = 20;
