--- a/bins/agent/src/assembly.rs
+++ b/bins/agent/src/assembly.rs
@@ -70,7 +70,7 @@
         control: parts.control,
         flow_idle: common.limits.flow_idle,
     };
-    let files = TlsFiles::of(&settings);
+    let files = TlsFiles::from_settings(&settings);
     let streams = StreamPath::new(common.control.0, common.gateway);
     let placement =
         PlacementSettings::new(common.control, common.zone.clone()).with_seed(rand::rng().random());
--- a/bins/agent/src/backend/body.rs
+++ b/bins/agent/src/backend/body.rs
@@ -1,4 +1,4 @@
-//! An answer's body on its way from the backend server.
+//! The body of a response that arrives from the backend server.
 
 use std::sync::Arc;
 
@@ -13,19 +13,19 @@
 use crate::exchange::{BODY_CHUNK_TIMEOUT, TruncatedBody};
 use crate::gate::{SlotGuard, SlotOutcome};
 
-/// How the length of a body is known.
+/// How the end of a body is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyFraming {
-    /// It has exactly this many bytes.
+    /// The body has exactly this many bytes.
     Length(u64),
-    /// A last chunk marks its end.
+    /// A final chunk marks the end.
     Chunked,
-    /// It ends when the connection does, which looks the same as a cut.
-    Unmarked,
+    /// The end of the connection ends the body, so a truncated body looks complete.
+    UntilClose,
 }
 
 impl BodyFraming {
-    fn of(status: StatusCode, headers: &HeaderMap, head_only: bool) -> Self {
+    fn from_head(status: StatusCode, headers: &HeaderMap, head_only: bool) -> Self {
         let informational = status.is_informational();
         let bodiless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         if head_only || informational || bodiless {
@@ -35,24 +35,24 @@
             return Self::Chunked;
         }
         let length = crate::headers::parse_number(headers, &header::CONTENT_LENGTH);
-        length.map_or(Self::Unmarked, Self::Length)
+        length.map_or(Self::UntilClose, Self::Length)
     }
 }
 
-/// A body that holds its connection, and the request's slot, until it ended.
+/// A body that holds its connection and the request's slot until it ends.
 ///
-/// Dropped before its end, it closes the connection and cancels the attempt.
+/// Dropping it early closes the connection and cancels the attempt.
 #[derive(Debug)]
 pub(crate) struct BackendBody {
     incoming: Incoming,
     framing: BodyFraming,
     received: u64,
     ended: bool,
-    /// Feeds are silent for as long as nothing happens; others may not be.
-    quiet_allowed: bool,
+    /// Whether the body may be idle indefinitely, as feeds are; other bodies time out.
+    idle_allowed: bool,
     attempt: AttemptId,
     link: Arc<BackendLink>,
-    /// `None` once it went back to the pool or was closed.
+    /// `None` after it was returned to the pool or closed.
     connection: Option<BackendConnection>,
     /// `None` for a feed.
     slot: Option<SlotGuard>,
@@ -69,10 +69,10 @@
         let (status, headers, incoming) = response;
         Self {
             incoming,
-            framing: BodyFraming::of(status, headers, head_only),
+            framing: BodyFraming::from_head(status, headers, head_only),
             received: 0,
             ended: false,
-            quiet_allowed: false,
+            idle_allowed: false,
             attempt,
             link,
             connection: Some(connection),
@@ -80,9 +80,9 @@
         }
     }
 
-    /// Holds the slot until the body ended; without one it may be silent for long.
+    /// Holds the slot until the body ends. A body without a slot is a feed and may be idle.
     pub(crate) fn hold_slot(&mut self, slot: Option<SlotGuard>) {
-        self.quiet_allowed = slot.is_none();
+        self.idle_allowed = slot.is_none();
         self.slot = slot;
     }
 
@@ -90,14 +90,14 @@
         if self.ended {
             return Ok(None);
         }
-        let piece = self.next_piece().await;
-        if piece.is_err() {
-            self.fail();
+        let chunk = self.next_chunk().await;
+        if chunk.is_err() {
+            self.abandon();
         }
-        piece
+        chunk
     }
 
-    async fn next_piece(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         loop {
             let Some(frame) = self.next_frame().await? else {
                 return self.finish();
@@ -112,8 +112,8 @@
         }
     }
 
-    /// The backend server broke off: its connection is of no more use, and its gate shall know.
-    fn fail(&mut self) {
+    /// Drops the failed connection and reports the loss to the gate.
+    fn abandon(&mut self) {
         self.connection = None;
         if let Some(slot) = self.slot.take() {
             slot.finish(SlotOutcome::Lost);
@@ -121,27 +121,27 @@
     }
 
     async fn next_frame(&mut self) -> Result<Option<hyper::body::Frame<Bytes>>, TruncatedBody> {
-        let frame = if self.quiet_allowed {
+        let frame = if self.idle_allowed {
             self.incoming.frame().await
         } else {
-            let waiting = tokio::time::timeout(BODY_CHUNK_TIMEOUT, self.incoming.frame());
-            waiting.await.map_err(|_| TruncatedBody)?
+            let next = tokio::time::timeout(BODY_CHUNK_TIMEOUT, self.incoming.frame());
+            next.await.map_err(|_| TruncatedBody)?
         };
         frame.transpose().map_err(|_| TruncatedBody)
     }
 
     fn finish(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
-        let whole = match self.framing {
+        let complete = match self.framing {
             BodyFraming::Length(length) => self.received == length,
             BodyFraming::Chunked => true,
-            BodyFraming::Unmarked => false,
+            BodyFraming::UntilClose => false,
         };
-        if !whole {
+        if !complete {
             return Err(TruncatedBody);
         }
         self.ended = true;
         if let Some(connection) = self.connection.take() {
-            self.link.put_back(connection);
+            self.link.release(connection);
         }
         if let Some(slot) = self.slot.take() {
             slot.finish(SlotOutcome::Served);
@@ -155,12 +155,12 @@
         if self.ended {
             return;
         }
-        // Closing the connection alone leaves the backend server running the request and its
-        // slot in use; the next request would then be refused though the gate counts it free.
+        // Closing the connection alone does not stop the request: the backend server would keep
+        // its slot in use and refuse the next request, although the gate counts the slot as free.
         drop(self.connection.take());
         let slot = self.slot.take();
         if slot.is_some() {
-            self.link.cancel_later(self.attempt, slot, None);
+            self.link.spawn_cancel(self.attempt, slot, None);
         }
     }
 }
--- a/bins/agent/src/backend/connection.rs
+++ b/bins/agent/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the backend server.
+//! A connection to the backend server.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -13,30 +13,29 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Longest an attempt to connect may take: the backend server stands beside the agent.
+/// Connect timeout. Short, because the backend server runs beside the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Read buffer of a feed's connection, in bytes. Longer events come in several pieces.
-const FEED_BUFFER_BYTES: usize = 2 * 1024;
+/// Read buffer of a feed's connection. Longer events arrive in several chunks.
+const FEED_READ_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Why there is no connection.
+/// Why no connection could be opened.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectError {
-    #[error("backend server not reached: {0}")]
+    #[error("cannot connect to the backend server: {0}")]
     Io(#[from] io::Error),
-    #[error("backend server not reached in time")]
+    #[error("connecting to the backend server timed out")]
     Timeout,
-    #[error("backend server handshake: {0}")]
+    #[error("HTTP handshake with the backend server failed: {0}")]
     Http(#[from] hyper::Error),
 }
 
-/// An open connection. Dropping it closes the stream at once.
+/// An open connection. Dropping it closes the stream immediately.
 #[derive(Debug)]
 pub(crate) struct BackendConnection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    /// When it was last used.
-    pub(crate) used: Instant,
+    pub(crate) last_used: Instant,
 }
 
 impl BackendConnection {
@@ -44,37 +43,38 @@
         Self::open_with(address, &http1::Builder::new()).await
     }
 
-    /// Opens one for a feed: thousands are held at a time, and their events are short.
+    /// Opens a connection for a feed, with a small buffer: thousands are open at once, and their
+    /// events are short.
     pub(crate) async fn open_for_feed(address: SocketAddrV4) -> Result<Self, ConnectError> {
-        let mut settings = http1::Builder::new();
-        settings.read_buf_exact_size(Some(FEED_BUFFER_BYTES));
-        Self::open_with(address, &settings).await
+        let mut builder = http1::Builder::new();
+        builder.read_buf_exact_size(Some(FEED_READ_BUFFER_BYTES));
+        Self::open_with(address, &builder).await
     }
 
     async fn open_with(
         address: SocketAddrV4,
-        settings: &http1::Builder,
+        builder: &http1::Builder,
     ) -> Result<Self, ConnectError> {
         let connecting = TcpStream::connect(address);
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
             .map_err(|_| ConnectError::Timeout)??;
         stream.set_nodelay(true)?;
-        let (sender, connection) = settings.handshake(TokioIo::new(stream)).await?;
+        let (sender, connection) = builder.handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move {
-            // The error shows at the request or body that it ends.
+            // The request or body that the error ends reports it.
             let _ = connection.await;
         });
         Ok(Self {
             sender,
             driver: driver.abort_handle(),
-            used: Instant::now(),
+            last_used: Instant::now(),
         })
     }
 
-    /// Whether another request may be sent on it.
+    /// Whether another request may be sent on this connection.
     pub(crate) fn is_usable(&self, max_idle: Duration) -> bool {
-        self.sender.is_ready() && self.used.elapsed() < max_idle
+        self.sender.is_ready() && self.last_used.elapsed() < max_idle
     }
 }
 
--- a/bins/agent/src/backend/control.rs
+++ b/bins/agent/src/backend/control.rs
@@ -10,30 +10,30 @@
 use serde::{Deserialize, Serialize};
 
 use crate::backend::connection::BackendConnection;
-use crate::backend::link::{BackendLink, text_value};
+use crate::backend::link::{BackendLink, to_header_value};
 
-/// Longest wait for the answer to a cancellation.
-pub(crate) const CANCEL_WAIT: Duration = Duration::from_millis(250);
+/// How long to wait for the response to a cancellation.
+pub(crate) const CANCEL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest wait for an answer about health.
-const HEALTH_WAIT: Duration = Duration::from_secs(1);
+/// How long to wait for the response to a health check.
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Control answers are short.
-const MAX_ANSWER_BYTES: usize = 16 * 1024;
+/// Largest control response accepted.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// What a backend server says of itself. It lags and misleads.
+/// The state that a backend server reports. It may be stale or wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum BackendState {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It is starting.
+    /// Is starting up.
     Warming,
-    /// It finishes what it has.
+    /// Finishes its requests and accepts no new ones.
     Draining,
 }
 
-/// The answer about health.
+/// The response to a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct BackendHealth {
     pub(crate) state: BackendState,
@@ -42,7 +42,7 @@
 }
 
 impl BackendHealth {
-    pub(crate) fn word(self) -> HealthStatus {
+    pub(crate) fn status(self) -> HealthStatus {
         match self.state {
             BackendState::Ready => HealthStatus::Ready,
             BackendState::Warming => HealthStatus::Warming(Duration::from_millis(self.warming_ms)),
@@ -51,48 +51,50 @@
     }
 }
 
-/// What the backend server said to a cancellation.
+/// How a cancellation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CancelEnd {
-    /// The attempt never started and never will.
+pub(crate) enum CancelOutcome {
+    /// The attempt did not start and never will.
     Cancelled,
-    /// It has started.
-    Refused,
-    /// Nothing that can be relied on.
-    NoAnswer,
+    /// The attempt has already started.
+    AlreadyStarted,
+    /// The backend server gave no valid response.
+    NoResponse,
 }
 
 impl BackendLink {
-    /// Asks the backend server to give an attempt up.
-    pub(crate) async fn cancel(&self, attempt: AttemptId) -> CancelEnd {
+    /// Asks the backend server to cancel an attempt.
+    pub(crate) async fn cancel(&self, attempt: AttemptId) -> CancelOutcome {
         let path = format!("/.well-known/lovagelatch/cancel/{attempt}");
-        let asking = self.ask(Method::POST, &path);
-        match tokio::time::timeout(CANCEL_WAIT, asking).await {
-            Ok(Some((StatusCode::OK, _))) => CancelEnd::Cancelled,
-            Ok(Some(_)) => CancelEnd::Refused,
-            Ok(None) | Err(_) => CancelEnd::NoAnswer,
+        let response = self.send_control(Method::POST, &path);
+        match tokio::time::timeout(CANCEL_TIMEOUT, response).await {
+            Ok(Some((StatusCode::OK, _))) => CancelOutcome::Cancelled,
+            Ok(Some(_)) => CancelOutcome::AlreadyStarted,
+            Ok(None) | Err(_) => CancelOutcome::NoResponse,
         }
     }
 
-    /// Asks the backend server how it is; `None` when it gave no readable answer.
+    /// Queries the backend server's health; `None` when it gives no valid response.
     pub(crate) async fn health(&self) -> Option<BackendHealth> {
-        let asking = self.ask(Method::GET, "/.well-known/lovagelatch/health");
-        let answer = tokio::time::timeout(HEALTH_WAIT, asking).await.ok()??;
-        serde_json::from_slice(&answer.1).ok()
+        let response = self.send_control(Method::GET, "/.well-known/lovagelatch/health");
+        let (_, body) = tokio::time::timeout(HEALTH_TIMEOUT, response)
+            .await
+            .ok()??;
+        serde_json::from_slice(&body).ok()
     }
 
-    /// One control exchange, on a connection of its own: one that went silent would otherwise
-    /// swallow the cancellation together with the request.
-    async fn ask(&self, method: Method, path: &str) -> Option<(StatusCode, Bytes)> {
+    /// Sends a control request on a connection of its own: on a reused connection that went silent,
+    /// the cancellation would be lost together with the request.
+    async fn send_control(&self, method: Method, path: &str) -> Option<(StatusCode, Bytes)> {
         let mut connection = BackendConnection::open(self.address()).await.ok()?;
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.method_mut() = method;
         *request.uri_mut() = path.parse().ok()?;
-        let host = text_value(&self.address().to_string());
+        let host = to_header_value(&self.address().to_string());
         request.headers_mut().insert(header::HOST, host);
         let response = connection.sender.send_request(request).await.ok()?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let body = body.collect().await.ok()?.to_bytes();
         Some((status, body))
     }
--- a/bins/agent/src/backend/link.rs
+++ b/bins/agent/src/backend/link.rs
@@ -1,4 +1,4 @@
-//! Sending a request to the backend server and judging what comes back.
+//! Sends requests to the backend server and validates the responses.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -13,50 +13,50 @@
 
 use crate::backend::body::BackendBody;
 use crate::backend::connection::BackendConnection;
-use crate::backend::control::CancelEnd;
-use crate::backend::read_ahead::AheadRoom;
+use crate::backend::control::CancelOutcome;
+use crate::backend::read_ahead::ReadAheadLimit;
 use crate::exchange::{AttemptResponse, CallerRequest, Refusal, ResponseBody};
 use crate::gate::{SlotGuard, SlotOutcome};
 use crate::headers;
 
-/// Connections kept for reuse.
-const MAX_IDLE: usize = 32;
+/// Idle connections kept for reuse.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// How long an unused connection is trusted. One that went silent meanwhile would hold a
-/// request until its deadline.
-const IDLE_TRUST: Duration = Duration::from_secs(5);
+/// How long an idle connection may be reused. A request on a connection that went silent while
+/// idle would hang until its deadline.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
-/// When to come back after a refusal that names no time.
-const DEFAULT_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay after a refusal that names none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The agent's way to its backend server.
+/// The agent's link to its backend server.
 #[derive(Debug)]
 pub(crate) struct BackendLink {
     address: SocketAddrV4,
     idle: Mutex<Vec<BackendConnection>>,
-    /// Room for answers that wait for their callers.
-    pub(crate) room: AheadRoom,
+    /// Limits the responses that are buffered for their callers.
+    pub(crate) read_ahead: ReadAheadLimit,
 }
 
 /// How an exchange with the backend server ended.
 #[derive(Debug)]
-pub(crate) enum ExchangeEnd {
-    /// An answer to this very attempt has started.
+pub(crate) enum BackendOutcome {
+    /// A response to this attempt has started.
     Answered(AttemptResponse),
-    /// Nothing of the request was written.
-    NotHandedOver,
-    /// The backend server refused it before its start.
+    /// No byte of the request was written.
+    NotSent,
+    /// The backend server refused the request before starting it.
     Shed(Refusal),
-    /// It may run or have run; no answer that can be trusted came back.
+    /// The request may be running or have run; no valid response arrived.
     Lost(LostReason),
 }
 
-/// Why an answer is not to be had.
+/// Why a response is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LostReason {
     /// The connection broke after the request was written.
     Broken,
-    /// The answer names another attempt, or none.
+    /// The response names another attempt, or none.
     Crossed,
 }
 
@@ -65,7 +65,7 @@
         Self {
             address,
             idle: Mutex::default(),
-            room: AheadRoom::default(),
+            read_ahead: ReadAheadLimit::default(),
         }
     }
 
@@ -73,24 +73,28 @@
         self.address
     }
 
-    /// Sends the request; the caller of this function watches the deadline. A future dropped
-    /// before its end closes the connection.
+    /// Sends the request and waits for the head of the response.
+    ///
+    /// The caller of this function enforces the deadline. Dropping the future before it completes
+    /// closes the connection.
     pub(crate) async fn exchange(
         self: &Arc<Self>,
         request: &CallerRequest,
         attempt: AttemptId,
-    ) -> ExchangeEnd {
+    ) -> BackendOutcome {
         let mut message = self.to_http(request, attempt);
         let is_feed = request.is_feed();
-        // An idle connection may have been closed by the other side while nobody looked. As
-        // long as the library hands the request back unwritten, a fresh one may be tried.
-        let kept = if is_feed { None } else { self.take_idle() };
-        if let Some(mut connection) = kept {
+        // The backend server may have closed an idle connection unnoticed. While hyper returns the
+        // request unwritten, it is safe to send it on a new connection.
+        let idle = if is_feed { None } else { self.take_idle() };
+        if let Some(mut connection) = idle {
             match connection.sender.try_send_request(message).await {
-                Ok(response) => return self.judge(request, attempt, response, connection),
+                Ok(response) => {
+                    return self.check_response(request, attempt, response, connection);
+                }
                 Err(mut error) => match error.take_message() {
                     Some(unwritten) => message = unwritten,
-                    None => return ExchangeEnd::Lost(LostReason::Broken),
+                    None => return BackendOutcome::Lost(LostReason::Broken),
                 },
             }
         }
@@ -100,37 +104,37 @@
             BackendConnection::open(self.address).await
         };
         let Ok(mut connection) = opened else {
-            return ExchangeEnd::NotHandedOver;
+            return BackendOutcome::NotSent;
         };
         match connection.sender.try_send_request(message).await {
-            Ok(response) => self.judge(request, attempt, response, connection),
+            Ok(response) => self.check_response(request, attempt, response, connection),
             Err(mut error) => match error.take_message() {
-                Some(_) => ExchangeEnd::NotHandedOver,
-                None => ExchangeEnd::Lost(LostReason::Broken),
+                Some(_) => BackendOutcome::NotSent,
+                None => BackendOutcome::Lost(LostReason::Broken),
             },
         }
     }
 
-    /// Keeps a connection whose last answer ended whole.
-    pub(crate) fn put_back(&self, mut connection: BackendConnection) {
-        connection.used = tokio::time::Instant::now();
+    /// Returns a connection to the pool after a complete response.
+    pub(crate) fn release(&self, mut connection: BackendConnection) {
+        connection.last_used = tokio::time::Instant::now();
         let mut idle = self.idle.lock();
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
 
-    /// Cancels an attempt whose caller left, then gives its slot back.
+    /// Cancels an attempt whose caller left, then releases its slot, in a background task.
     ///
-    /// A caller that leaves says nothing about the server. Counted as lost answers, a few of
-    /// them in a row would make the gate take the server for broken and close its slots to
-    /// everybody else; so only a server that does not answer the cancellation counts as such.
-    /// `end` says how the slot ended where that is known already.
-    pub(crate) fn cancel_later(
+    /// A caller that leaves is no evidence about the server. If such responses counted as lost, a
+    /// few in a row would make the gate consider the server broken and close its slots to all other
+    /// callers; so only a server that does not respond to the cancellation counts as such. `known`
+    /// is the outcome of the slot if it is already known.
+    pub(crate) fn spawn_cancel(
         self: &Arc<Self>,
         attempt: AttemptId,
         slot: Option<SlotGuard>,
-        end: Option<SlotOutcome>,
+        known: Option<SlotOutcome>,
     ) {
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
@@ -138,11 +142,11 @@
         let link = Arc::clone(self);
         runtime.spawn(async move {
             let cancelled = match link.cancel(attempt).await {
-                CancelEnd::Cancelled | CancelEnd::Refused => SlotOutcome::Abandoned,
-                CancelEnd::NoAnswer => SlotOutcome::Lost,
+                CancelOutcome::Cancelled | CancelOutcome::AlreadyStarted => SlotOutcome::Abandoned,
+                CancelOutcome::NoResponse => SlotOutcome::Lost,
             };
             if let Some(slot) = slot {
-                slot.finish(end.unwrap_or(cancelled));
+                slot.finish(known.unwrap_or(cancelled));
             }
         });
     }
@@ -150,7 +154,7 @@
     fn take_idle(&self) -> Option<BackendConnection> {
         let mut idle = self.idle.lock();
         while let Some(connection) = idle.pop() {
-            if connection.is_usable(IDLE_TRUST) {
+            if connection.is_usable(MAX_IDLE_TIME) {
                 return Some(connection);
             }
         }
@@ -164,37 +168,40 @@
         let fields = message.headers_mut();
         *fields = request.headers.clone();
         if !fields.contains_key(header::HOST) {
-            fields.insert(header::HOST, text_value(&self.address.to_string()));
+            fields.insert(header::HOST, to_header_value(&self.address.to_string()));
         }
-        fields.insert(headers::ATTEMPT, text_value(&attempt.to_string()));
-        let attempts = request.allowance.left().to_string();
-        fields.insert(headers::ATTEMPTS_LEFT, text_value(&attempts));
-        let left = request.time_left().as_millis();
-        fields.insert(headers::DEADLINE_MS, text_value(&left.to_string()));
+        fields.insert(headers::ATTEMPT, to_header_value(&attempt.to_string()));
+        let attempts_left = request.allowance.left().to_string();
+        fields.insert(headers::ATTEMPTS_LEFT, to_header_value(&attempts_left));
+        let time_left = request.time_left().as_millis();
+        fields.insert(
+            headers::DEADLINE_MS,
+            to_header_value(&time_left.to_string()),
+        );
         message
     }
 
-    fn judge(
+    fn check_response(
         self: &Arc<Self>,
         request: &CallerRequest,
         attempt: AttemptId,
         response: Response<Incoming>,
         connection: BackendConnection,
-    ) -> ExchangeEnd {
+    ) -> BackendOutcome {
         let (head, incoming) = response.into_parts();
         let named = head.headers.get(headers::ATTEMPT);
         let expected = attempt.to_string();
-        // An answer that belongs to another request would show one citizen another's claim.
+        // Another attempt's response would show one citizen another citizen's claim.
         if named.map(HeaderValue::as_bytes) != Some(expected.as_bytes()) {
-            return ExchangeEnd::Lost(LostReason::Crossed);
+            return BackendOutcome::Lost(LostReason::Crossed);
         }
         let outcome = head.headers.get(headers::OUTCOME);
         let not_run = outcome.is_some_and(|value| value.as_bytes() == b"not-run");
         if head.status == StatusCode::SERVICE_UNAVAILABLE && not_run {
-            let retry_after = retry_after_of(&head.headers);
+            let retry_after = parse_retry_after(&head.headers);
             let refusal = Refusal::new(RefusalReason::Shed, retry_after)
                 .with_returned(headers::returned_allowance(&head.headers));
-            return ExchangeEnd::Shed(refusal);
+            return BackendOutcome::Shed(refusal);
         }
         let head_only = request.method == Method::HEAD;
         let body = BackendBody::new(
@@ -204,7 +211,7 @@
             Arc::clone(self),
             connection,
         );
-        ExchangeEnd::Answered(AttemptResponse {
+        BackendOutcome::Answered(AttemptResponse {
             status: head.status,
             headers: headers::end_to_end(&head.headers),
             body: ResponseBody::Backend(Box::new(body)),
@@ -212,13 +219,13 @@
     }
 }
 
-fn retry_after_of(fields: &http::HeaderMap) -> Duration {
+fn parse_retry_after(fields: &http::HeaderMap) -> Duration {
     let millis = headers::parse_number(fields, &headers::RETRY_AFTER_MS).map(Duration::from_millis);
     let seconds = || headers::parse_number(fields, &header::RETRY_AFTER).map(Duration::from_secs);
-    millis.or_else(seconds).unwrap_or(DEFAULT_RETRY)
+    millis.or_else(seconds).unwrap_or(DEFAULT_RETRY_AFTER)
 }
 
-/// A field value of digits, letters and punctuation made here.
-pub(crate) fn text_value(text: &str) -> HeaderValue {
+/// Converts text generated by the agent to a header value; invalid text becomes empty.
+pub(crate) fn to_header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
--- a/bins/agent/src/backend/mod.rs
+++ b/bins/agent/src/backend/mod.rs
@@ -1,8 +1,8 @@
-//! The agent's own backend server, over HTTP/1.1.
+//! The client of the agent's backend server, over HTTP/1.1.
 //!
-//! A connection is used again only after an answer on it ended whole and in time. One with a
-//! late, cut, crossed or given-up answer is closed: what may still arrive on it would otherwise
-//! be read as the answer to the next request.
+//! A connection is reused only after a complete response that arrived in time. After a late,
+//! truncated, crossed or cancelled response it is closed: bytes that still arrive on it would
+//! otherwise be read as the response to the next request.
 
 mod body;
 mod connection;
@@ -11,6 +11,6 @@
 mod read_ahead;
 
 pub(crate) use body::BackendBody;
-pub(crate) use control::{CANCEL_WAIT, CancelEnd};
-pub(crate) use link::{BackendLink, ExchangeEnd, text_value};
-pub(crate) use read_ahead::AheadBody;
+pub(crate) use control::{CANCEL_TIMEOUT, CancelOutcome};
+pub(crate) use link::{BackendLink, BackendOutcome, to_header_value};
+pub(crate) use read_ahead::ReadAheadBody;
--- a/bins/agent/src/backend/read_ahead.rs
+++ b/bins/agent/src/backend/read_ahead.rs
@@ -1,10 +1,10 @@
-//! Reading answers ahead of their callers.
+//! Buffers responses ahead of slow callers.
 //!
-//! What goes wrong without it: a caller that reads slowly, or not at all, holds the slot that
-//! its answer came from, and a few such callers of one agency stop the service for its rivals.
-//! So an answer is read into memory as fast as the backend server gives it, up to a bound, and
-//! the slot is free as soon as the backend server is done. Beyond the bound a caller has to keep
-//! up: one that takes nothing for long loses the rest of the answer.
+//! Without it, a caller that reads slowly or not at all would hold the slot of its response, and a
+//! few such callers of one agency would block the service for competing agencies. The agent
+//! therefore reads a response into memory as fast as the backend server sends it, up to a limit,
+//! and frees the slot as soon as the backend server is done. Beyond the limit the caller has to
+//! keep up: if it reads nothing for `STALL_TIMEOUT`, the rest of the response is dropped.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,61 +16,61 @@
 use crate::backend::body::BackendBody;
 use crate::exchange::TruncatedBody;
 
-/// Bytes of one answer that may wait for their caller.
-const AHEAD_BYTES: u32 = 256 * 1024;
+/// Bytes of one response that may be buffered.
+const READ_AHEAD_BYTES: u32 = 256 * 1024;
 
-/// The same while too many other answers wait.
-const SCARCE_BYTES: u32 = 16 * 1024;
+/// The same limit while `MAX_READ_AHEADS` responses already use the larger one.
+const REDUCED_READ_AHEAD_BYTES: u32 = 16 * 1024;
 
-/// Answers that may use the larger bound at a time; together 16 MB.
-const MAX_AHEAD: usize = 64;
+/// Responses that may use the larger limit at the same time; together 16 MB.
+const MAX_READ_AHEADS: usize = 64;
 
-/// Longest that a caller may take nothing while its answer waits.
+/// How long a full buffer may wait for the caller to read.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The room for answers that wait, shared by all of an agent.
+/// Limits the responses that may use the larger buffer; shared by the whole agent.
 #[derive(Clone, Debug)]
-pub(crate) struct AheadRoom {
+pub(crate) struct ReadAheadLimit {
     bodies: Arc<Semaphore>,
 }
 
-impl Default for AheadRoom {
+impl Default for ReadAheadLimit {
     fn default() -> Self {
         Self {
-            bodies: Arc::new(Semaphore::new(MAX_AHEAD)),
+            bodies: Arc::new(Semaphore::new(MAX_READ_AHEADS)),
         }
     }
 }
 
 #[derive(Debug)]
-enum Piece {
+enum BodyChunk {
     Data(Bytes, OwnedSemaphorePermit),
     End,
 }
 
-/// An answer's body that is read ahead by a task of its own. Dropped, it ends the task, and with
-/// it what is left of the exchange.
+/// A response body that a background task reads ahead. Dropping it ends the task and the rest
+/// of the exchange.
 #[derive(Debug)]
-pub(crate) struct AheadBody {
-    pieces: mpsc::UnboundedReceiver<Piece>,
+pub(crate) struct ReadAheadBody {
+    chunks: mpsc::UnboundedReceiver<BodyChunk>,
     ended: bool,
-    _room: Option<OwnedSemaphorePermit>,
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
-impl AheadBody {
-    pub(crate) fn start(body: BackendBody, room: &AheadRoom) -> Self {
-        let (sender, pieces) = mpsc::unbounded_channel();
-        let room = Arc::clone(&room.bodies).try_acquire_owned().ok();
-        let bytes = if room.is_some() {
-            AHEAD_BYTES
+impl ReadAheadBody {
+    pub(crate) fn start(body: BackendBody, limit: &ReadAheadLimit) -> Self {
+        let (sender, chunks) = mpsc::unbounded_channel();
+        let permit = Arc::clone(&limit.bodies).try_acquire_owned().ok();
+        let bytes = if permit.is_some() {
+            READ_AHEAD_BYTES
         } else {
-            SCARCE_BYTES
+            REDUCED_READ_AHEAD_BYTES
         };
         tokio::spawn(pump(body, sender, bytes));
         Self {
-            pieces,
+            chunks,
             ended: false,
-            _room: room,
+            _permit: permit,
         }
     }
 
@@ -78,28 +78,28 @@
         if self.ended {
             return Ok(None);
         }
-        match self.pieces.recv().await {
-            Some(Piece::Data(data, _room)) => Ok(Some(data)),
-            Some(Piece::End) => {
+        match self.chunks.recv().await {
+            Some(BodyChunk::Data(data, _permit)) => Ok(Some(data)),
+            Some(BodyChunk::End) => {
                 self.ended = true;
                 Ok(None)
             }
-            // The task ended without saying that the body is whole.
+            // The task ended without a complete body.
             None => Err(TruncatedBody),
         }
     }
 }
 
-async fn pump(mut body: BackendBody, sender: mpsc::UnboundedSender<Piece>, bytes: u32) {
+async fn pump(mut body: BackendBody, sender: mpsc::UnboundedSender<BodyChunk>, bytes: u32) {
     let room = Arc::new(Semaphore::new(usize::try_from(bytes).unwrap_or(usize::MAX)));
     loop {
-        let piece = tokio::select! {
-            piece = body.next() => piece,
+        let chunk = tokio::select! {
+            chunk = body.next() => chunk,
             () = sender.closed() => return,
         };
-        let Ok(Some(data)) = piece else {
-            if matches!(piece, Ok(None)) {
-                let _ = sender.send(Piece::End);
+        let Ok(Some(data)) = chunk else {
+            if matches!(chunk, Ok(None)) {
+                let _ = sender.send(BodyChunk::End);
             }
             return;
         };
@@ -112,7 +112,7 @@
         let Ok(Ok(permit)) = permit else {
             return;
         };
-        if sender.send(Piece::Data(data, permit)).is_err() {
+        if sender.send(BodyChunk::Data(data, permit)).is_err() {
             return;
         }
     }
--- a/bins/agent/src/dispatch.rs
+++ b/bins/agent/src/dispatch.rs
@@ -14,12 +14,12 @@
 use tokio::time::Instant;
 
 use crate::agent::Agent;
-use crate::backend::{CancelEnd, ExchangeEnd};
+use crate::backend::{BackendOutcome, CancelOutcome};
 use crate::exchange::{AttemptOutcome, CallerRequest, Refusal};
 use crate::gate::{Admission, SlotGuard, SlotOutcome};
 use crate::in_flight::{BackendAttempt, PeerAttempt};
 use crate::metrics::reason_label;
-use crate::relay::{RelayEnd, RelayTerms, unreached};
+use crate::relay::{RelayContext, RelayOutcome, no_reachable_peer};
 
 /// Inline capacity of the list of gates that a request has tried.
 const INLINE_GATES: usize = 4;
@@ -154,21 +154,21 @@
     }
 
     /// Closes the attempt according to how its exchange with the backend server ended.
-    fn conclude(&self, mut in_flight: BackendAttempt, end: ExchangeEnd) -> AttemptOutcome {
+    fn conclude(&self, mut in_flight: BackendAttempt, end: BackendOutcome) -> AttemptOutcome {
         match end {
-            ExchangeEnd::Answered(answer) => {
+            BackendOutcome::Answered(answer) => {
                 AttemptOutcome::Answered(in_flight.into_response(answer))
             }
-            ExchangeEnd::NotHandedOver => {
+            BackendOutcome::NotSent => {
                 in_flight.close(SlotOutcome::Lost);
                 let refusal = Refusal::new(RefusalReason::NoTarget, UNREACHABLE_RETRY_AFTER);
                 AttemptOutcome::NotRun(refusal)
             }
-            ExchangeEnd::Shed(refusal) => {
+            BackendOutcome::Shed(refusal) => {
                 in_flight.close(SlotOutcome::Shed);
                 AttemptOutcome::NotRun(refusal)
             }
-            ExchangeEnd::Lost(reason) => {
+            BackendOutcome::Lost(reason) => {
                 self.metrics.answers.count("discarded");
                 info!(self.log, "answer lost"; "attempt" => in_flight.attempt.to_string(),
                     "reason" => format!("{reason:?}"));
@@ -188,25 +188,25 @@
     async fn cancel_in_flight(
         &self,
         mut in_flight: BackendAttempt,
-        mut exchange: Pin<&mut impl Future<Output = ExchangeEnd>>,
+        mut exchange: Pin<&mut impl Future<Output = BackendOutcome>>,
         limit: Duration,
     ) -> AttemptOutcome {
         let cancelling = tokio::time::timeout(limit, self.backend.cancel(in_flight.attempt));
         let cancelled = tokio::select! {
             biased;
             end = &mut exchange => return self.conclude(in_flight, end),
-            cancelled = cancelling => cancelled.unwrap_or(CancelEnd::NoAnswer),
+            cancelled = cancelling => cancelled.unwrap_or(CancelOutcome::NoResponse),
         };
-        if cancelled == CancelEnd::Cancelled
+        if cancelled == CancelOutcome::Cancelled
             && let Ok(end) = tokio::time::timeout(CLOSE_DETECTION_TIMEOUT, &mut exchange).await
         {
             return self.conclude(in_flight, end);
         }
         in_flight.close(match cancelled {
-            CancelEnd::Cancelled | CancelEnd::Refused => SlotOutcome::Abandoned,
-            CancelEnd::NoAnswer => SlotOutcome::Lost,
+            CancelOutcome::Cancelled | CancelOutcome::AlreadyStarted => SlotOutcome::Abandoned,
+            CancelOutcome::NoResponse => SlotOutcome::Lost,
         });
-        if cancelled == CancelEnd::Cancelled {
+        if cancelled == CancelOutcome::Cancelled {
             AttemptOutcome::NotRun(Refusal::new(
                 RefusalReason::TooLate,
                 UNREACHABLE_RETRY_AFTER,
@@ -229,14 +229,14 @@
         let _in_flight = PeerAttempt::new(self, peer);
         let terms = self.relay_terms(attempt, None);
         let end = self.relays.relay(peer, request, terms).await;
-        self.metrics.relays.count(end.word());
-        let reached = !matches!(end, RelayEnd::NotHandedOver);
+        self.metrics.relays.count(end.label());
+        let reached = !matches!(end, RelayOutcome::PeerUnreachable);
         self.fleet.record_exchange(peer, reached);
         let end = match end {
-            RelayEnd::Ended(end) => end,
-            RelayEnd::NotHandedOver => {
+            RelayOutcome::Ended(end) => end,
+            RelayOutcome::PeerUnreachable => {
                 self.record_peer_outcome(peer, PeerOutcome::Lost);
-                return AttemptOutcome::NotRun(unreached());
+                return AttemptOutcome::NotRun(no_reachable_peer());
             }
         };
         let outcome = match &end {
@@ -254,8 +254,8 @@
         end
     }
 
-    pub(crate) fn relay_terms(&self, attempt: AttemptId, ticket: Option<String>) -> RelayTerms {
-        RelayTerms {
+    pub(crate) fn relay_terms(&self, attempt: AttemptId, ticket: Option<String>) -> RelayContext {
+        RelayContext {
             attempt,
             service: self.service,
             revision: self.fleet.view().revision(),
--- a/bins/agent/src/exchange.rs
+++ b/bins/agent/src/exchange.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use crate::backend::{AheadBody, BackendBody, CANCEL_WAIT};
+use crate::backend::{BackendBody, CANCEL_TIMEOUT, ReadAheadBody};
 use crate::relay::RelayBody;
 
 /// Maximum gap between two chunks of a response that is not a feed. After that its sender counts
@@ -48,7 +48,7 @@
     /// Time reserved before the deadline for a cancellation and its acknowledgement.
     pub(crate) fn cancel_reserve(&self) -> Duration {
         let total = self.deadline.saturating_duration_since(self.arrived);
-        CANCEL_WAIT.min(total / CANCEL_RESERVE_DIVISOR)
+        CANCEL_TIMEOUT.min(total / CANCEL_RESERVE_DIVISOR)
     }
 
     /// Whether it is too late for a response: only the cancellation reserve is left.
@@ -86,7 +86,7 @@
     /// Streamed from the local backend server at the caller's pace.
     Backend(Box<BackendBody>),
     /// Read ahead from the local backend server, faster than the caller reads.
-    ReadAhead(AheadBody),
+    ReadAhead(ReadAheadBody),
     /// Relayed from a peer's gate.
     Relay(Box<RelayBody>),
 }
--- a/bins/agent/src/gateway/call.rs
+++ b/bins/agent/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! One call to a dependency.
+//! Calls of the backend server to its dependencies.
 
 use std::sync::Arc;
 
@@ -13,18 +13,18 @@
 use crate::exchange::{AttemptOutcome, CallerRequest, Refusal, new_attempt};
 use crate::headers;
 use crate::path::normalize_path;
-use crate::relay::{RelayEnd, RelayTerms, unreached};
+use crate::relay::{RelayContext, RelayOutcome, no_reachable_peer};
 
-/// A call as the backend server made it.
+/// A call from the backend server.
 pub(crate) struct DependencyCall {
     pub(crate) service: ServiceName,
-    /// Its path is the one at the dependency.
+    /// The request with the path as the dependency sees it.
     pub(crate) request: CallerRequest,
 }
 
 impl Agent {
-    /// Calls a dependency: any live target of it, and another one after a refusal, within the
-    /// attempts left and the retry budget.
+    /// Calls any live target of a dependency. After a refusal, retries at another target within the
+    /// remaining attempts and the retry budget.
     pub(crate) async fn call(self: &Arc<Self>, call: DependencyCall) -> AttemptOutcome {
         let attempt = new_attempt();
         let view = self.fleet.view();
@@ -34,13 +34,13 @@
             let refusal = Refusal::new(RefusalReason::WrongService, std::time::Duration::ZERO);
             return AttemptOutcome::NotRun(refusal);
         }
-        if self.is_once_at(&call) {
-            return self.file_call(&call, attempt).await;
+        if self.is_once_only_call(&call) {
+            return self.call_home(&call, attempt).await;
         }
-        self.call_any(call, attempt).await
+        self.call_any_target(call, attempt).await
     }
 
-    async fn call_any(
+    async fn call_any_target(
         self: &Arc<Self>,
         call: DependencyCall,
         attempt: AttemptId,
@@ -50,18 +50,18 @@
             mut request,
         } = call;
         self.record_request(&request);
-        let mut refusal = unreached();
+        let mut refusal = no_reachable_peer();
         for target in self.live_targets(&service) {
             info!(self.log, "call relayed"; "decision" => DecisionKind::RequestRelayed,
                 "attempt" => attempt.to_string(), "dependency" => service.as_str(),
                 "peer" => target.to_string());
-            let terms = self.call_terms(&service, attempt, None);
-            let end = self.relays.relay(target, &request, terms).await;
-            self.metrics.relays.count(end.word());
-            match end {
-                RelayEnd::Ended(AttemptOutcome::NotRun(refused)) => refusal = refused,
-                RelayEnd::Ended(end) => return end,
-                RelayEnd::NotHandedOver => {}
+            let context = self.call_context(&service, attempt, None);
+            let outcome = self.relays.relay(target, &request, context).await;
+            self.metrics.relays.count(outcome.label());
+            match outcome {
+                RelayOutcome::Ended(AttemptOutcome::NotRun(refused)) => refusal = refused,
+                RelayOutcome::Ended(outcome) => return outcome,
+                RelayOutcome::PeerUnreachable => {}
             }
             match self.retry_allowance(&request, refusal) {
                 Some(allowance) => request.allowance = allowance,
@@ -71,8 +71,8 @@
         AttemptOutcome::NotRun(refusal)
     }
 
-    /// A once-only call goes to the home that its ticket names, and nowhere else.
-    async fn file_call(
+    /// Sends a once-only call to the home that its ticket names, and to no other target.
+    async fn call_home(
         self: &Arc<Self>,
         call: &DependencyCall,
         attempt: AttemptId,
@@ -85,16 +85,16 @@
             let refusal = Refusal::new(RefusalReason::TicketNeeded, std::time::Duration::ZERO);
             return AttemptOutcome::NotRun(refusal);
         };
-        let terms = self.call_terms(&call.service, attempt, Some(key.to_owned()));
-        let end = self.relays.relay(ticket.home, &call.request, terms).await;
-        self.metrics.relays.count(end.word());
-        match end {
-            RelayEnd::Ended(end) => end,
-            RelayEnd::NotHandedOver => AttemptOutcome::Unknown,
+        let context = self.call_context(&call.service, attempt, Some(key.to_owned()));
+        let outcome = self.relays.relay(ticket.home, &call.request, context).await;
+        self.metrics.relays.count(outcome.label());
+        match outcome {
+            RelayOutcome::Ended(outcome) => outcome,
+            RelayOutcome::PeerUnreachable => AttemptOutcome::Unknown,
         }
     }
 
-    fn is_once_at(&self, call: &DependencyCall) -> bool {
+    fn is_once_only_call(&self, call: &DependencyCall) -> bool {
         let view = self.fleet.view();
         let entry = view.text().service(call.service.as_str());
         let method: &Method = &call.request.method;
@@ -102,20 +102,20 @@
         entry.is_some_and(|entry| entry.is_once_only(method.as_str(), &path))
     }
 
-    fn call_terms(
+    fn call_context(
         &self,
         service: &ServiceName,
         attempt: AttemptId,
         ticket: Option<String>,
-    ) -> RelayTerms {
-        RelayTerms {
+    ) -> RelayContext {
+        RelayContext {
             service: service.id(),
             ..self.relay_terms(attempt, ticket)
         }
     }
 
-    /// The dependency's targets that take new work, in random order: this agent hears no load
-    /// of another service's gates, and random order spreads the callers over them.
+    /// The dependency's live targets, in random order. This agent receives no load reports from
+    /// another service's gates; the random order spreads the calls over them.
     fn live_targets(&self, service: &ServiceName) -> Vec<AgentAddress> {
         let view = self.fleet.view();
         let targets = view.targets(service.id()).iter();
--- a/bins/agent/src/gateway/handler.rs
+++ b/bins/agent/src/gateway/handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the gateway.
+//! The gateway's HTTP server.
 
 use std::net::SocketAddrV4;
 use std::sync::{Arc, OnceLock};
@@ -36,12 +36,12 @@
     Method::Options,
 ];
 
-/// The longest answer whose length was not announced, in bytes.
-const MAX_UNSIZED_BYTES: usize = 8 * 1024 * 1024;
+/// Largest response of unannounced length, which is buffered whole.
+const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why the gateway stopped.
+/// The gateway could not start, or its server failed.
 #[derive(Debug, Error)]
-#[error("gateway for dependencies: {0}")]
+#[error("dependency gateway failed: {0}")]
 pub(crate) struct GatewayError(#[from] Box<rocket::Error>);
 
 #[derive(Clone)]
@@ -61,14 +61,16 @@
         .merge(("log_level", "off"))
         .merge(("shutdown.ctrlc", false))
         .merge(("shutdown.signals", Vec::<String>::new()));
-    let note = AdHoc::on_liftoff("address", move |rocket| {
+    let record_address = AdHoc::on_liftoff("address", move |rocket| {
         let port = rocket.config().port;
         let _ = address.set(SocketAddrV4::new(*listen.ip(), port));
         Box::pin(async {})
     });
     let handler = GatewayHandler { agent };
     let routes = METHODS.map(|method| Route::new(method, "/<path..>", handler.clone()));
-    let server = rocket::custom(settings).mount("/", routes).attach(note);
+    let server = rocket::custom(settings)
+        .mount("/", routes)
+        .attach(record_address);
     server.launch().await.map_err(Box::new)?;
     Ok(())
 }
@@ -82,17 +84,17 @@
             Ok(body) if body.is_complete() => Bytes::from(body.into_inner()),
             _ => return Outcome::Error(Status::PayloadTooLarge),
         };
-        let Some(call) = to_call(&self.agent, request, body) else {
+        let Some(call) = parse_call(&self.agent, request, body) else {
             return Outcome::Error(Status::NotFound);
         };
         let request = call.request.clone();
-        let end = self.agent.call(call).await;
-        Outcome::Success(to_response(&self.agent, &request, end).await)
+        let outcome = self.agent.call(call).await;
+        Outcome::Success(to_response(&self.agent, &request, outcome).await)
     }
 }
 
-/// The first segment of the path names the service.
-fn to_call(agent: &Agent, request: &Request<'_>, body: Bytes) -> Option<DependencyCall> {
+/// Parses a request whose first path segment names the service.
+fn parse_call(agent: &Agent, request: &Request<'_>, body: Bytes) -> Option<DependencyCall> {
     let uri = request.uri().to_string();
     let (service, path) = uri.strip_prefix('/')?.split_once('/')?;
     let service: ServiceName = service.parse().ok()?;
@@ -105,22 +107,23 @@
         }
     }
     let arrived = Instant::now();
-    let asked = headers::parse_number(&fields, &headers::DEADLINE_MS).map(Duration::from_millis);
-    let time = asked.unwrap_or(agent.settings.common.limits.request_deadline);
-    let attempts = fields.get(headers::ATTEMPTS_LEFT);
-    let allowance = headers::parse_allowance(attempts.map(HeaderValue::as_bytes));
-    let mut passed = headers::end_to_end(&fields);
-    passed.remove(http::header::HOST);
-    passed.remove(http::header::CONTENT_LENGTH);
+    let requested =
+        headers::parse_number(&fields, &headers::DEADLINE_MS).map(Duration::from_millis);
+    let time_left = requested.unwrap_or(agent.settings.common.limits.request_deadline);
+    let attempts_left = fields.get(headers::ATTEMPTS_LEFT);
+    let allowance = headers::parse_allowance(attempts_left.map(HeaderValue::as_bytes));
+    let mut forwarded = headers::end_to_end(&fields);
+    forwarded.remove(http::header::HOST);
+    forwarded.remove(http::header::CONTENT_LENGTH);
     let request = CallerRequest {
         method: request.method().as_str().parse().ok()?,
         path: format!("/{path}"),
-        headers: passed,
+        headers: forwarded,
         body,
         agency: None,
         allowance,
         arrived,
-        deadline: arrived + time,
+        deadline: arrived + time_left,
     };
     Some(DependencyCall { service, request })
 }
@@ -128,49 +131,49 @@
 async fn to_response<'r>(
     agent: &Agent,
     request: &CallerRequest,
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
 ) -> Response<'r> {
-    let terms = ReplyContext {
+    let context = ReplyContext {
         agent: agent.settings.common.name.clone(),
         ticket: None,
     };
     let ticketed = request.headers.contains_key(headers::IDEMPOTENCY_KEY);
-    let lost = || head_only(&terms.unknown(request.is_late(), ticketed));
-    match end {
-        AttemptOutcome::Answered(answer) if may_stream(&answer, request) => {
-            let head = terms.done(&answer);
-            stream_body(&head, answer.body)
+    let lost = || empty_response(&context.unknown(request.is_late(), ticketed));
+    match outcome {
+        AttemptOutcome::Answered(response) if may_stream(&response, request) => {
+            let head = context.done(&response);
+            streamed_response(&head, response.body)
         }
-        AttemptOutcome::Answered(mut answer) => {
-            match answer.body.collect(MAX_UNSIZED_BYTES).await {
-                Ok(body) => whole_body(&terms.done(&answer), body),
+        AttemptOutcome::Answered(mut response) => {
+            match response.body.collect(MAX_BUFFERED_BYTES).await {
+                Ok(body) => sized_response(&context.done(&response), body),
                 Err(_) => lost(),
             }
         }
         AttemptOutcome::NotRun(refusal) => {
             agent.metrics.refusals.count(reason_label(refusal.reason));
-            head_only(&refused(&terms, refusal))
+            empty_response(&refusal_head(&context, refusal))
         }
         AttemptOutcome::Unknown => lost(),
     }
 }
 
-/// A refusal on its way back. This agent is the link next to it and has decided whether to try
-/// again; were the links above to do so too, their shares would multiply.
-fn refused(terms: &ReplyContext, refusal: Refusal) -> http::Response<()> {
-    let mut head = terms.not_run(refusal);
+/// The head of a refusal, with no attempts left. This agent has already decided whether to retry;
+/// if every agent up the call chain retried as well, the retries would multiply.
+fn refusal_head(context: &ReplyContext, refusal: Refusal) -> http::Response<()> {
+    let mut head = context.not_run(refusal);
     let none = HeaderValue::from(u16::from(AttemptAllowance::none().left()));
     head.headers_mut().insert(headers::ATTEMPTS_LEFT, none);
     head
 }
 
-/// Whether the backend server would see that a streamed answer is cut.
+/// Whether the backend server would notice that a streamed response is truncated.
 ///
-/// The server library ends a body that breaks off as if it were whole, unless its length was
-/// announced; then the connection breaks instead. An answer of unknown length is therefore read
-/// whole first. A feed has no end that could be taken for one.
-fn may_stream(answer: &AttemptResponse, request: &CallerRequest) -> bool {
-    let sized = answer.headers.contains_key(http::header::CONTENT_LENGTH);
+/// Rocket ends a body that fails as if it were complete, unless its length was announced; then
+/// it breaks the connection. A response of unknown length is therefore buffered first. A feed has
+/// no regular end that a truncation could be mistaken for.
+fn may_stream(response: &AttemptResponse, request: &CallerRequest) -> bool {
+    let sized = response.headers.contains_key(http::header::CONTENT_LENGTH);
     sized || request.is_feed()
 }
 
@@ -185,30 +188,30 @@
     response
 }
 
-fn head_only<'r>(head: &http::Response<()>) -> Response<'r> {
+fn empty_response<'r>(head: &http::Response<()>) -> Response<'r> {
     start_response(head).finalize()
 }
 
-fn whole_body<'r>(head: &http::Response<()>, body: Vec<u8>) -> Response<'r> {
+fn sized_response<'r>(head: &http::Response<()>, body: Vec<u8>) -> Response<'r> {
     let mut response = start_response(head);
     response.sized_body(body.len(), std::io::Cursor::new(body));
     response.finalize()
 }
 
-fn stream_body<'r>(head: &http::Response<()>, mut body: ResponseBody) -> Response<'r> {
-    let pieces = stream! {
+fn streamed_response<'r>(head: &http::Response<()>, mut body: ResponseBody) -> Response<'r> {
+    let chunks = stream! {
         loop {
             match body.next().await {
-                Ok(Some(piece)) => yield Ok(piece),
+                Ok(Some(chunk)) => yield Ok(chunk),
                 Ok(None) => break,
-                Err(cut) => {
-                    yield Err(std::io::Error::new(std::io::ErrorKind::UnexpectedEof, cut));
+                Err(error) => {
+                    yield Err(std::io::Error::new(std::io::ErrorKind::UnexpectedEof, error));
                     break;
                 }
             }
         }
     };
     let mut response = start_response(head);
-    response.streamed_body(StreamReader::new(Box::pin(pieces)));
+    response.streamed_body(StreamReader::new(Box::pin(chunks)));
     response.finalize()
 }
--- a/bins/agent/src/gateway/mod.rs
+++ b/bins/agent/src/gateway/mod.rs
@@ -1,18 +1,18 @@
-//! The gateway for dependencies: where the backend server calls the services it depends on.
+//! The dependency gateway: the backend server calls the services it depends on through it.
 //!
-//! The backend server speaks plain HTTP/1.1 to the agent beside it, on loopback, and names the
-//! service in the first segment of the path:
+//! The backend server sends plain HTTP/1.1 to the agent beside it, over loopback, and names the
+//! service in the first path segment:
 //!
 //! ```text
 //! backend server -- GET /certificates/certificates/17 --> gateway
-//!                                                            | may this service call it?
+//!                                                            | check that it is a dependency
 //!                                                            v
 //!                              relay --> gate of a certificates target (GET /certificates/17)
 //! ```
 //!
-//! Answers carry the same outcome headers as a caller's. Attempts are bounded along the whole
-//! chain: the call gives back the `lovagelatch-attempts-left` that came with the request it
-//! serves, and every retry on the way uses one up.
+//! Responses carry the same outcome headers as those to callers. The attempts of a whole call
+//! chain are limited: a call repeats the `lovagelatch-attempts-left` header of the request that it
+//! serves, and every retry uses up one attempt.
 
 mod call;
 mod handler;
--- a/bins/agent/src/in_flight.rs
+++ b/bins/agent/src/in_flight.rs
@@ -6,7 +6,7 @@
 use lovagelatch_domain::{AgentAddress, AttemptId};
 
 use crate::agent::Agent;
-use crate::backend::{AheadBody, BackendLink};
+use crate::backend::{BackendLink, ReadAheadBody};
 use crate::exchange::{AttemptResponse, ResponseBody};
 use crate::gate::{SlotGuard, SlotOutcome};
 
@@ -34,7 +34,7 @@
     pub(crate) fn abandon(mut self, outcome: SlotOutcome) {
         self.open = false;
         self.link
-            .cancel_later(self.attempt, self.slot.take(), Some(outcome));
+            .spawn_cancel(self.attempt, self.slot.take(), Some(outcome));
     }
 
     /// Moves the slot into the response body. A feed has no slot and is forwarded without
@@ -46,7 +46,7 @@
         if let ResponseBody::Backend(mut body) = response.body {
             body.hold_slot(slot);
             response.body = if has_slot {
-                ResponseBody::ReadAhead(AheadBody::start(*body, &self.link.room))
+                ResponseBody::ReadAhead(ReadAheadBody::start(*body, &self.link.read_ahead))
             } else {
                 ResponseBody::Backend(body)
             };
@@ -58,7 +58,7 @@
 impl Drop for BackendAttempt {
     fn drop(&mut self) {
         if self.open {
-            self.link.cancel_later(self.attempt, self.slot.take(), None);
+            self.link.spawn_cancel(self.attempt, self.slot.take(), None);
         }
     }
 }
--- a/bins/agent/src/maintenance.rs
+++ b/bins/agent/src/maintenance.rs
@@ -76,7 +76,7 @@
     loop {
         let mut interval = HEALTH_POLL_INTERVAL;
         if let Some(health) = agent.backend.health().await {
-            let status = health.word();
+            let status = health.status();
             let passive = agent.gate.passive_health();
             let trusted = trusted_status(status, previous, passive, agent.clock.now());
             previous = Some(status);
@@ -170,7 +170,7 @@
 
 /// Reloads a changed certificate for new flows; open flows keep theirs.
 pub(crate) async fn watch_certificate(agent: Arc<Agent>) {
-    let files = TlsFiles::of(&agent.settings);
+    let files = TlsFiles::from_settings(&agent.settings);
     let mut seen = files.modified().ok();
     loop {
         tokio::time::sleep(FILE_POLL_INTERVAL).await;
@@ -183,7 +183,7 @@
         match load_server_crypto(&files) {
             Ok(crypto) => {
                 seen = now;
-                agent.endpoints.renew(crypto);
+                agent.endpoints.set_crypto(crypto);
                 info!(agent.log, "certificate reloaded");
             }
             Err(error) => {
--- a/bins/agent/src/once/filing.rs
+++ b/bins/agent/src/once/filing.rs
@@ -1,4 +1,4 @@
-//! Filing a once-only request: here, or at the home that its ticket names.
+//! Executes a once-only request here or at the home that its ticket names.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,24 +16,24 @@
 use crate::agent::Agent;
 use crate::exchange::{AttemptOutcome, AttemptResponse, CallerRequest, Refusal, ResponseBody};
 use crate::headers;
-use crate::once::ledger::{EndReceiver, EndSender, FilingEnd, HomeStep};
-use crate::relay::RelayEnd;
+use crate::once::ledger::{FilingOutcome, HomeStep, OutcomeReceiver, OutcomeSender};
+use crate::relay::RelayOutcome;
 
-/// The longest answer to a filing, in bytes. A longer one counts as lost.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+/// Largest response to a filing. A larger one counts as lost.
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// The part of the time left for which a home that cannot be reached is tried, as a divisor.
-const HOME_WAIT_PART: u32 = 2;
+/// An unreachable home is retried for the remaining time divided by this.
+const HOME_RETRY_DIVISOR: u32 = 2;
 
-/// The pause between two tries to reach a home.
-const HOME_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between attempts to reach a home.
+const HOME_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long after its deadline an attempt waits for the run's own end.
-const END_WAIT: Duration = Duration::from_millis(10);
+/// How long after its deadline an attempt still waits for the outcome of the run.
+const OUTCOME_GRACE: Duration = Duration::from_millis(10);
 
 impl Agent {
-    /// Files a once-only request with the key that its caller gave.
-    pub(crate) async fn file(
+    /// Executes a once-only request under the idempotency key that its caller sent.
+    pub(crate) async fn submit_once(
         self: &Arc<Self>,
         key: Option<&str>,
         request: CallerRequest,
@@ -45,22 +45,23 @@
         };
         let ticket = match RequestTicket::open(key, &self.keys.load()) {
             Ok(ticket) if ticket.service == self.service => ticket,
-            // No agent made it, so nothing can have run under it.
+            // No agent issued it, so nothing can have run under it.
             Err(TicketError::Malformed | TicketError::InvalidTag) => {
                 return AttemptOutcome::NotRun(refusal);
             }
-            // Its key generation was dropped, or its address passed to this service: its filing
-            // may have run. Told "not run", the caller would file anew and it would run twice.
+            // Its key generation was removed, or its address was reassigned to this service, so
+            // the filing may have run. After "not run" the caller would file again, and it would
+            // run twice.
             Ok(_) | Err(TicketError::UnknownGeneration { .. }) => return AttemptOutcome::Unknown,
         };
         if ticket.home == self.address() || self.once.answers_for(&ticket) {
-            return self.file_here(&ticket, request, attempt).await;
+            return self.submit_locally(&ticket, request, attempt).await;
         }
-        self.file_at(&ticket, key, request, attempt).await
+        self.relay_to_home(&ticket, key, request, attempt).await
     }
 
-    /// Files a request that a peer relayed because its ticket names this agent.
-    pub(crate) async fn file_at_home(
+    /// Executes a request that a peer relayed because its ticket names this agent.
+    pub(crate) async fn submit_at_home(
         self: &Arc<Self>,
         key: &str,
         request: CallerRequest,
@@ -68,15 +69,15 @@
     ) -> AttemptOutcome {
         match RequestTicket::open(key, &self.keys.load()) {
             Ok(ticket) if ticket.service == self.service => {
-                self.file_here(&ticket, request, attempt).await
+                self.submit_locally(&ticket, request, attempt).await
             }
-            // The peer could read it and this agent cannot: the keys are being rotated. Whether
-            // it ran before is not known here.
+            // The peer could open the ticket and this agent cannot: the keys are being rotated.
+            // Whether the filing ran before is not known here.
             _ => AttemptOutcome::Unknown,
         }
     }
 
-    async fn file_at(
+    async fn relay_to_home(
         self: &Arc<Self>,
         ticket: &RequestTicket,
         key: &str,
@@ -86,51 +87,51 @@
         let home = ticket.home;
         info!(self.log, "filing relayed to its home"; "decision" => DecisionKind::RequestRelayed,
             "attempt" => attempt.to_string(), "home" => home.to_string());
-        // An attempt that was not handed over may be offered to the same home again; a home that
-        // is paused or cut off for a moment then still runs it.
-        let give_up = Instant::now() + request.time_left() / HOME_WAIT_PART;
+        // An attempt that was not sent may be retried at the same home; a home that is paused or
+        // partitioned for a moment then still runs it.
+        let retry_until = Instant::now() + request.time_left() / HOME_RETRY_DIVISOR;
         loop {
-            let terms = self.relay_terms(attempt, Some(key.to_owned()));
-            let end = self.relays.relay(home, &request, terms).await;
-            self.metrics.relays.count(end.word());
-            let reached = !matches!(end, RelayEnd::NotHandedOver);
+            let context = self.relay_terms(attempt, Some(key.to_owned()));
+            let outcome = self.relays.relay(home, &request, context).await;
+            self.metrics.relays.count(outcome.label());
+            let reached = !matches!(outcome, RelayOutcome::PeerUnreachable);
             self.fleet.record_exchange(home, reached);
-            if let RelayEnd::Ended(end) = end {
-                return end;
+            if let RelayOutcome::Ended(outcome) = outcome {
+                return outcome;
             }
             if self.once.answers_for(ticket) {
-                return self.file_here(ticket, request, attempt).await;
+                return self.submit_locally(ticket, request, attempt).await;
             }
-            if !self.may_return(home) || Instant::now() + HOME_PAUSE >= give_up {
+            if !self.may_be_alive(home) || Instant::now() + HOME_RETRY_INTERVAL >= retry_until {
                 return AttemptOutcome::Unknown;
             }
-            tokio::time::sleep(HOME_PAUSE).await;
+            tokio::time::sleep(HOME_RETRY_INTERVAL).await;
         }
     }
 
-    /// Whether an agent that cannot be reached is still held to be alive.
-    fn may_return(&self, home: AgentAddress) -> bool {
+    /// Whether the view still lists an unreachable agent without suspicion.
+    fn may_be_alive(&self, home: AgentAddress) -> bool {
         let view = self.fleet.view();
         let mut targets = view.targets(self.service).iter();
         let listed = targets.find(|target| target.agent == home);
         listed.is_some_and(|target| target.standing != TargetStanding::Suspected)
     }
 
-    async fn file_here(
+    async fn submit_locally(
         self: &Arc<Self>,
         ticket: &RequestTicket,
         request: CallerRequest,
         attempt: AttemptId,
     ) -> AttemptOutcome {
-        match self.once.step(ticket, attempt, &request) {
-            HomeStep::End(end) => end,
-            HomeStep::Join(receiver) => wait_for(receiver, &request, false).await,
+        match self.once.begin(ticket, attempt, &request) {
+            HomeStep::Reply(outcome) => outcome,
+            HomeStep::Join(receiver) => wait_for_outcome(receiver, &request, false).await,
             HomeStep::Run(sender, receiver) => {
-                // A task of its own: the run goes on when the attempt's caller leaves, because
-                // the next attempt with the same ticket comes for its answer.
+                // A separate task: the run continues when its caller leaves, because the next
+                // attempt with the same ticket needs its response.
                 let run = run_filing(Arc::clone(self), request.clone(), attempt, sender);
                 tokio::spawn(run);
-                wait_for(receiver, &request, true).await
+                wait_for_outcome(receiver, &request, true).await
             }
         }
     }
@@ -140,53 +141,55 @@
     agent: Arc<Agent>,
     request: CallerRequest,
     attempt: AttemptId,
-    sender: EndSender,
+    sender: OutcomeSender,
 ) {
     let _running = agent.drain.start_work();
-    let end = match agent.dispatch(&request, attempt).await {
-        AttemptOutcome::Answered(answer) => store(answer).await,
-        AttemptOutcome::NotRun(refusal) => FilingEnd::NotRun(refusal),
-        AttemptOutcome::Unknown => FilingEnd::Unknown,
+    let outcome = match agent.dispatch(&request, attempt).await {
+        AttemptOutcome::Answered(response) => buffer_response(response).await,
+        AttemptOutcome::NotRun(refusal) => FilingOutcome::NotRun(refusal),
+        AttemptOutcome::Unknown => FilingOutcome::Unknown,
     };
-    agent.once.finish(attempt, &end);
-    sender.send_replace(Some(end));
+    agent.once.finish(attempt, &outcome);
+    sender.send_replace(Some(outcome));
 }
 
-async fn store(mut answer: AttemptResponse) -> FilingEnd {
-    let Ok(body) = answer.body.collect(MAX_ANSWER_BYTES).await else {
-        return FilingEnd::Unknown;
+async fn buffer_response(mut response: AttemptResponse) -> FilingOutcome {
+    let Ok(body) = response.body.collect(MAX_RESPONSE_BYTES).await else {
+        return FilingOutcome::Unknown;
     };
-    let fields = answer.headers.iter().map(|(name, value)| AnswerHeader {
+    let fields = response.headers.iter().map(|(name, value)| AnswerHeader {
         name: name.as_str().to_owned(),
         value: value.as_bytes().to_vec(),
     });
-    FilingEnd::Done(Arc::new(StoredAnswer {
-        status: answer.status.as_u16(),
+    FilingOutcome::Done(Arc::new(StoredAnswer {
+        status: response.status.as_u16(),
         headers: fields.collect(),
         body,
     }))
 }
 
-async fn wait_for(
-    mut receiver: EndReceiver,
+async fn wait_for_outcome(
+    mut receiver: OutcomeReceiver,
     request: &CallerRequest,
     first: bool,
 ) -> AttemptOutcome {
-    let limit = request.deadline + END_WAIT;
-    let ended = receiver.wait_for(Option::is_some);
-    let end = match tokio::time::timeout_at(limit, ended).await {
-        Ok(Ok(end)) => end.clone(),
+    let limit = request.deadline + OUTCOME_GRACE;
+    let finished = receiver.wait_for(Option::is_some);
+    let outcome = match tokio::time::timeout_at(limit, finished).await {
+        Ok(Ok(outcome)) => outcome.clone(),
         Ok(Err(_)) | Err(_) => None,
     };
-    match end {
-        Some(FilingEnd::Done(stored)) if first => AttemptOutcome::Answered(to_answer(&stored)),
-        Some(FilingEnd::Done(stored)) => AttemptOutcome::Answered(replay(&stored, request)),
-        Some(FilingEnd::NotRun(refusal)) => AttemptOutcome::NotRun(refusal),
-        Some(FilingEnd::Unknown) | None => AttemptOutcome::Unknown,
+    match outcome {
+        Some(FilingOutcome::Done(stored)) if first => {
+            AttemptOutcome::Answered(to_response(&stored))
+        }
+        Some(FilingOutcome::Done(stored)) => AttemptOutcome::Answered(replay(&stored, request)),
+        Some(FilingOutcome::NotRun(refusal)) => AttemptOutcome::NotRun(refusal),
+        Some(FilingOutcome::Unknown) | None => AttemptOutcome::Unknown,
     }
 }
 
-fn to_answer(stored: &StoredAnswer) -> AttemptResponse {
+fn to_response(stored: &StoredAnswer) -> AttemptResponse {
     let fields: Vec<WireHeader> = stored
         .headers
         .iter()
@@ -202,15 +205,15 @@
     }
 }
 
-/// The stored answer for another attempt: it carries that attempt's own caller number, or its
-/// caller would take it for a crossed answer.
+/// Builds the response to another attempt from the stored one, with that attempt's own
+/// caller-request number; with the first attempt's, its caller would consider it crossed.
 pub(crate) fn replay(stored: &StoredAnswer, request: &CallerRequest) -> AttemptResponse {
-    let mut answer = to_answer(stored);
-    answer.headers.remove(headers::CALLER_REQUEST);
+    let mut response = to_response(stored);
+    response.headers.remove(headers::CALLER_REQUEST);
     if let Some(number) = request.headers.get(headers::CALLER_REQUEST) {
-        answer
+        response
             .headers
             .insert(headers::CALLER_REQUEST, number.clone());
     }
-    answer
+    response
 }
--- a/bins/agent/src/once/ledger.rs
+++ b/bins/agent/src/once/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger with the runs under way.
+//! The ledger together with the runs in progress.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,24 +16,24 @@
 use crate::exchange::{AttemptOutcome, CallerRequest, Refusal};
 use crate::once::filing::replay;
 
-/// How a run ended, for all attempts that wait for it.
+/// The outcome of a run, shared by all attempts that wait for it.
 #[derive(Clone, Debug)]
-pub(crate) enum FilingEnd {
+pub(crate) enum FilingOutcome {
     Done(Arc<StoredAnswer>),
     NotRun(Refusal),
     Unknown,
 }
 
-pub(crate) type EndSender = watch::Sender<Option<FilingEnd>>;
-pub(crate) type EndReceiver = watch::Receiver<Option<FilingEnd>>;
+pub(crate) type OutcomeSender = watch::Sender<Option<FilingOutcome>>;
+pub(crate) type OutcomeReceiver = watch::Receiver<Option<FilingOutcome>>;
 
 struct LedgerState {
     ledger: RequestLedger,
-    /// Invariant: an entry for each attempt that the ledger says runs.
-    running: HashMap<AttemptId, EndReceiver>,
+    /// Invariant: has an entry for each attempt that the ledger counts as running.
+    running: HashMap<AttemptId, OutcomeReceiver>,
 }
 
-/// The ledger with the runs under way.
+/// The ledger together with the runs in progress, behind one lock.
 pub(crate) struct OnceLedger {
     state: Mutex<LedgerState>,
 }
@@ -44,14 +44,14 @@
     }
 }
 
-/// What an attempt at home does.
+/// How an attempt proceeds at its home.
 pub(crate) enum HomeStep {
-    /// It runs; the sender tells its end.
-    Run(EndSender, EndReceiver),
-    /// It waits for the one that runs.
-    Join(EndReceiver),
-    /// It is answered at once.
-    End(AttemptOutcome),
+    /// It runs; the sender publishes the outcome.
+    Run(OutcomeSender, OutcomeReceiver),
+    /// It waits for the outcome of the attempt in progress.
+    Join(OutcomeReceiver),
+    /// It is answered immediately.
+    Reply(AttemptOutcome),
 }
 
 impl OnceLedger {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether this ledger answers for a peer's ticket because it took the peer's ledger over.
+    /// Whether this ledger answers for a peer's ticket because it adopted the peer's ledger.
     pub(crate) fn answers_for(&self, ticket: &RequestTicket) -> bool {
         let state = self.state.lock();
         state.ledger.answers_for(ticket.home, ticket.incarnation)
@@ -75,17 +75,17 @@
         self.state.lock().ledger.issue(service, unix_seconds())
     }
 
-    /// How many filings run.
+    /// The number of filings in progress.
     pub(crate) fn running(&self) -> usize {
         self.state.lock().ledger.running()
     }
 
-    /// How many filings it knows.
+    /// The number of filings on record.
     pub(crate) fn len(&self) -> usize {
         self.state.lock().ledger.len()
     }
 
-    /// Bytes of the answers it keeps.
+    /// Total size of the stored responses, in bytes.
     pub(crate) fn stored_bytes(&self) -> usize {
         self.state.lock().ledger.stored_bytes()
     }
@@ -99,8 +99,9 @@
         state.ledger.take_over(handover, unix_seconds());
     }
 
-    /// Decides and, in the same locked step, notes where a second attempt finds the first.
-    pub(crate) fn step(
+    /// Decides how an attempt proceeds. A run is registered under the same lock, so that a second
+    /// attempt finds the first.
+    pub(crate) fn begin(
         &self,
         ticket: &RequestTicket,
         attempt: AttemptId,
@@ -115,32 +116,33 @@
             }
             LedgerVerdict::Join(first) => match state.running.get(&first) {
                 Some(receiver) => HomeStep::Join(receiver.clone()),
-                None => HomeStep::End(AttemptOutcome::Unknown),
+                None => HomeStep::Reply(AttemptOutcome::Unknown),
             },
             LedgerVerdict::Replay(stored) => {
-                HomeStep::End(AttemptOutcome::Answered(replay(&stored, request)))
+                HomeStep::Reply(AttemptOutcome::Answered(replay(&stored, request)))
             }
-            // A closed ledger runs nothing more, and its successors never run its tickets.
+            // A closed ledger runs nothing more, and its successors never run the tickets it
+            // issued.
             LedgerVerdict::NeverRun | LedgerVerdict::HandedOver => {
                 let refusal = Refusal::new(RefusalReason::TicketNeeded, Duration::ZERO);
-                HomeStep::End(AttemptOutcome::NotRun(refusal))
+                HomeStep::Reply(AttemptOutcome::NotRun(refusal))
             }
             LedgerVerdict::Full { retry_after } => {
                 let refusal = Refusal::new(RefusalReason::Full, retry_after);
-                HomeStep::End(AttemptOutcome::NotRun(refusal))
+                HomeStep::Reply(AttemptOutcome::NotRun(refusal))
             }
             LedgerVerdict::Unknown
             | LedgerVerdict::Expired
             | LedgerVerdict::OtherHome(_)
-            | LedgerVerdict::AttemptReused => HomeStep::End(AttemptOutcome::Unknown),
+            | LedgerVerdict::AttemptReused => HomeStep::Reply(AttemptOutcome::Unknown),
         }
     }
 
-    pub(crate) fn finish(&self, attempt: AttemptId, end: &FilingEnd) {
-        let record = match end {
-            FilingEnd::Done(stored) => LedgerOutcome::Done(StoredAnswer::clone(stored)),
-            FilingEnd::NotRun(_) => LedgerOutcome::NotRun,
-            FilingEnd::Unknown => LedgerOutcome::Unknown,
+    pub(crate) fn finish(&self, attempt: AttemptId, outcome: &FilingOutcome) {
+        let record = match outcome {
+            FilingOutcome::Done(stored) => LedgerOutcome::Done(StoredAnswer::clone(stored)),
+            FilingOutcome::NotRun(_) => LedgerOutcome::NotRun,
+            FilingOutcome::Unknown => LedgerOutcome::Unknown,
         };
         let mut state = self.state.lock();
         state.ledger.finish(attempt, record, unix_seconds());
--- a/bins/agent/src/once/ticket.rs
+++ b/bins/agent/src/once/ticket.rs
@@ -1,4 +1,4 @@
-//! Handing tickets out.
+//! Issues request tickets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,18 @@
     AttemptOutcome, AttemptResponse, CallerRequest, Refusal, ResponseBody, new_attempt,
 };
 
-/// Where a caller fetches a ticket.
+/// The path at which callers fetch a ticket.
 pub(crate) const TICKET_PATH: &str = "/.well-known/lovagelatch/ticket";
 
-/// The longest answer with a ticket, in bytes.
+/// Largest response with a ticket.
 const MAX_TICKET_BYTES: usize = 1024;
 
-/// When to come back for a ticket to a service whose agent leaves.
-const LEAVING_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay for a ticket while the agent is leaving.
+const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Agent {
-    /// A fresh sealed ticket whose home is this agent; `None` while it leaves, since its ledger
-    /// would be gone before the ticket is used.
+    /// Issues a sealed ticket whose home is this agent; `None` while the agent is leaving, because
+    /// its ledger would be gone before the ticket is used.
     pub(crate) fn new_ticket(&self) -> Option<String> {
         if self.drain.is_leaving() {
             return None;
@@ -33,15 +33,15 @@
         Some(ticket.seal(&self.keys.load()))
     }
 
-    /// A fresh ticket as an answer to a peer.
-    pub(crate) fn answer_ticket(&self) -> AttemptOutcome {
+    /// Issues a ticket to a peer.
+    pub(crate) fn issue_peer_ticket(&self) -> AttemptOutcome {
         match self.new_ticket() {
-            Some(ticket) => AttemptOutcome::Answered(ticket_answer(&ticket)),
-            None => AttemptOutcome::NotRun(leaving()),
+            Some(ticket) => AttemptOutcome::Answered(ticket_response(&ticket)),
+            None => AttemptOutcome::NotRun(leaving_refusal()),
         }
     }
 
-    /// A fresh ticket for a caller: the agent's own, or a peer's while this agent leaves.
+    /// Returns a ticket for a caller: the agent's own, or a peer's while this agent is leaving.
     pub(crate) async fn fetch_ticket(
         self: &Arc<Self>,
         request: &CallerRequest,
@@ -50,29 +50,29 @@
             return Ok(ticket);
         }
         match self.dispatch(request, new_attempt()).await {
-            AttemptOutcome::Answered(mut answer) => {
-                let body = answer.body.collect(MAX_TICKET_BYTES).await;
+            AttemptOutcome::Answered(mut response) => {
+                let body = response.body.collect(MAX_TICKET_BYTES).await;
                 let issued = body
                     .ok()
                     .and_then(|body| serde_json::from_slice(&body).ok());
                 issued
                     .map(|issued: IssuedTicket| issued.ticket)
-                    .ok_or(leaving())
+                    .ok_or(leaving_refusal())
             }
             AttemptOutcome::NotRun(refusal) => Err(refusal),
-            AttemptOutcome::Unknown => Err(leaving()),
+            AttemptOutcome::Unknown => Err(leaving_refusal()),
         }
     }
 }
 
-/// The body of an answer with a ticket.
+/// The JSON body of a response with a ticket.
 #[derive(Debug, Serialize, Deserialize)]
 struct IssuedTicket {
     ticket: String,
 }
 
-/// An answer that hands a ticket out.
-pub(crate) fn ticket_answer(ticket: &str) -> AttemptResponse {
+/// Builds a response with a ticket, which must not be cached.
+pub(crate) fn ticket_response(ticket: &str) -> AttemptResponse {
     let issued = IssuedTicket {
         ticket: ticket.to_owned(),
     };
@@ -89,6 +89,6 @@
     }
 }
 
-fn leaving() -> Refusal {
-    Refusal::new(RefusalReason::Leaving, LEAVING_RETRY)
+fn leaving_refusal() -> Refusal {
+    Refusal::new(RefusalReason::Leaving, LEAVING_RETRY_AFTER)
 }
--- a/bins/agent/src/packet/arrival.rs
+++ b/bins/agent/src/packet/arrival.rs
@@ -1,5 +1,5 @@
-//! What to do with a caller's packet: the routing library's decision with this agent's view,
-//! its load and its memory of opening flows.
+//! Decides what happens to a caller's packet: applies the routing library to this agent's view,
+//! its load and the handshakes in progress.
 
 use std::sync::Arc;
 
@@ -11,17 +11,17 @@
 use lovagelatch_wire::ForwardHeader;
 
 use crate::agent::Agent;
-use crate::packet::opening::{OpeningPlace, OpeningTable};
+use crate::packet::handshake::{HandshakeRoute, HandshakeTable};
 
-/// How far above the mean load of the service an agent may be before it hands new flows on.
-const SHARE_FACTOR: f64 = 1.25;
+/// The multiple of the service's mean load above which an agent forwards new flows to peers.
+const OVER_SHARE_FACTOR: f64 = 1.25;
 
-/// The decisions about arriving packets.
+/// Routes arriving packets.
 pub(crate) struct ArrivalRouter {
     table: RoutingTable,
-    /// What `table` was made from.
+    /// The view that `table` was built from.
     view: Arc<FleetView>,
-    openings: OpeningTable,
+    handshakes: HandshakeTable,
 }
 
 impl ArrivalRouter {
@@ -29,11 +29,11 @@
         Self {
             table: RoutingTable::default(),
             view: Arc::default(),
-            openings: OpeningTable::default(),
+            handshakes: HandshakeTable::default(),
         }
     }
 
-    /// Decides about one packet.
+    /// Decides what happens to one packet.
     pub(crate) fn decide(
         &mut self,
         agent: &Agent,
@@ -42,17 +42,17 @@
     ) -> ArrivalDecision {
         self.refresh(agent);
         let now = agent.clock.now();
-        let opens = packet.token.is_none();
-        let known = match opens {
-            true => self.openings.find(packet.flow_key, now),
+        let is_opening = packet.token.is_none();
+        let recorded = match is_opening {
+            true => self.handshakes.find(packet.flow_key, now),
             false => None,
         };
-        if let Some(OpeningPlace::Peer(peer)) = known {
+        if let Some(HandshakeRoute::Peer(peer)) = recorded {
             return ArrivalDecision::Forward { agent: peer };
         }
-        let admission = match known {
+        let admission = match recorded {
             Some(_) => FlowAdmission::HandshakeStarted,
-            None => holding_of(agent),
+            None => current_admission(agent),
         };
         let arrival = ArrivalPacket {
             packet,
@@ -61,41 +61,48 @@
             hops: header.hops,
             admission,
         };
-        let own = agent.address();
+        let own_address = agent.address();
         let flows = FlowRouter::with_keys(&agent.keys.load());
-        let decision = flows.route_arrival(&arrival, own, agent.service, &self.table);
-        let decision = self.confirm(agent, opens, decision);
-        if opens && known.is_none() {
-            self.remember(packet.flow_key, decision, now);
+        let decision = flows.route_arrival(&arrival, own_address, agent.service, &self.table);
+        let decision = self.check_holder(agent, is_opening, decision);
+        if is_opening && recorded.is_none() {
+            self.record(packet.flow_key, decision, now);
         }
         decision
     }
 
-    /// Whether a packet of a peer's flow is worth handing on.
+    /// Replaces forwarding a packet of a peer's flow by a reset if the peer is gone.
     ///
-    /// It came here because a balancer holds the peer to be gone. If this agent's own view says
-    /// so too (suspected, or no longer listed), a reset tells the caller at once; handed on, the
-    /// packet would vanish and the caller's flow stay silent until its idle timeout. If the
-    /// views differ, the peer may live, and a reset would cut a flow that works.
-    fn confirm(&self, agent: &Agent, opens: bool, decision: ArrivalDecision) -> ArrivalDecision {
+    /// The packet arrived here because a balancer considers the peer gone. If this agent's view
+    /// agrees (the peer is suspected or not listed), a reset informs the caller immediately;
+    /// forwarded, the packet would be lost and the caller's flow stay silent until its idle
+    /// timeout. If the views differ, the peer may be alive, and a reset would break a working flow.
+    fn check_holder(
+        &self,
+        agent: &Agent,
+        is_opening: bool,
+        decision: ArrivalDecision,
+    ) -> ArrivalDecision {
         let ArrivalDecision::Forward { agent: holder } = decision else {
             return decision;
         };
         let targets = self.view.targets(agent.service);
         let listed = targets.iter().find(|target| target.agent == holder);
-        let lives = listed.is_some_and(|target| target.standing != TargetStanding::Suspected);
-        if opens || lives {
+        let may_be_alive =
+            listed.is_some_and(|target| target.standing != TargetStanding::Suspected);
+        if is_opening || may_be_alive {
             decision
         } else {
             ArrivalDecision::Reset
         }
     }
 
-    fn remember(&mut self, key: &[u8], decision: ArrivalDecision, now: Moment) {
+    fn record(&mut self, key: &[u8], decision: ArrivalDecision, now: Moment) {
         match decision {
-            ArrivalDecision::Accept => self.openings.note(key, OpeningPlace::Here, now),
+            ArrivalDecision::Accept => self.handshakes.record(key, HandshakeRoute::Local, now),
             ArrivalDecision::Forward { agent } => {
-                self.openings.note(key, OpeningPlace::Peer(agent), now);
+                self.handshakes
+                    .record(key, HandshakeRoute::Peer(agent), now);
             }
             _ => {}
         }
@@ -110,26 +117,27 @@
     }
 }
 
-fn holding_of(agent: &Agent) -> FlowAdmission {
+/// Whether the agent accepts new flows, from its state and its load relative to its peers.
+fn current_admission(agent: &Agent) -> FlowAdmission {
     if agent.drain.is_leaving() {
         return FlowAdmission::Leaving;
     }
-    let own = agent.gate.report();
+    let local = agent.gate.report();
     let peers = agent.fleet.peer_reports();
-    let loads = peers.iter().map(|peer| load_of(&peer.report));
-    if own.in_use >= own.slots && is_over_share(load_of(&own), loads) {
+    let loads = peers.iter().map(|peer| request_load(&peer.report));
+    if local.in_use >= local.slots && is_over_share(request_load(&local), loads) {
         return FlowAdmission::OverShare;
     }
     FlowAdmission::Accepting
 }
 
-/// Requests under way for each slot.
-fn load_of(report: &GateReport) -> f64 {
+/// Requests in progress or queued, per slot.
+fn request_load(report: &GateReport) -> f64 {
     let requests = f64::from(report.in_use) + f64::from(report.queued);
     requests / f64::from(report.slots.max(1))
 }
 
-fn is_over_share(own: f64, peers: impl Iterator<Item = f64>) -> bool {
-    let (sum, count) = peers.fold((own, 1.0), |(sum, count), load| (sum + load, count + 1.0));
-    own > SHARE_FACTOR * sum / count
+fn is_over_share(local: f64, peers: impl Iterator<Item = f64>) -> bool {
+    let (sum, count) = peers.fold((local, 1.0), |(sum, count), load| (sum + load, count + 1.0));
+    local > OVER_SHARE_FACTOR * sum / count
 }
--- a/bins/agent/src/packet/connection_id.rs
+++ b/bins/agent/src/packet/connection_id.rs
@@ -1,4 +1,4 @@
-//! Connection IDs that are flow tokens, and the stateless reset tokens that belong to them.
+//! Connection IDs that are flow tokens, and their stateless reset tokens.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,29 +11,29 @@
 use quinn::{ConnectionId, ConnectionIdGenerator};
 use ring::hmac;
 
-/// Serial numbers of tokens fit 48 bits.
+/// Serial numbers of tokens have 48 bits.
 const SERIAL_MASK: u64 = (1 << 48) - 1;
 
-/// Bytes of an HMAC-SHA256 signature.
+/// Size of an HMAC-SHA256 signature.
 const SIGNATURE_BYTES: usize = 32;
 
 /// Issues sealed flow tokens as connection IDs.
 ///
-/// Every connection ID of a flow, also one issued hours later, names this agent, so a balancer
-/// that never saw the flow forwards its packets here.
+/// Every connection ID of a flow, even one issued hours later, names this agent, so a balancer
+/// that has no record of the flow still forwards its packets here.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenIssuer {
     agent: AgentAddress,
     service: ServiceId,
     keys: Arc<ArcSwap<FleetKeys>>,
     serial: Arc<AtomicU64>,
-    /// How long an ID is used.
+    /// How long a connection ID is used before it is replaced.
     lifetime: Duration,
 }
 
 impl TokenIssuer {
-    /// An issuer for one start of an agent; `first_serial` is drawn at random, so that a
-    /// restarted agent does not issue its predecessor's tokens again.
+    /// Creates an issuer. `first_serial` is random for each start, so that a restarted agent does
+    /// not reissue its predecessor's tokens.
     pub(crate) fn new(
         agent: AgentAddress,
         service: ServiceId,
@@ -61,9 +61,9 @@
         ConnectionId::new(&token.seal(&self.keys.load()))
     }
 
-    /// Accepts every genuine token, also another agent's: a stateless reset is the right answer
-    /// for a flow whose agent is gone. Anything else is dropped unanswered, so that garbage
-    /// cannot make this agent send.
+    /// Accepts every authentic token, including other agents' tokens: a stateless reset is the
+    /// right response for a flow whose agent is gone. Anything else is dropped silently, so that
+    /// garbage cannot make this agent send.
     fn validate(&self, id: &ConnectionId) -> Result<(), quinn_proto::InvalidCid> {
         FlowToken::open(id, &self.keys.load())
             .map(drop)
@@ -74,15 +74,15 @@
         TOKEN_BYTES
     }
 
-    /// Without an end, a flow would keep the IDs of its first minute, and dropping an old key
-    /// generation would break every flow that was open before the switch.
+    /// Limits the lifetime of connection IDs. Otherwise a flow would keep its first IDs, and
+    /// removing an old key generation would break every flow that was opened before the key switch.
     fn cid_lifetime(&self) -> Option<Duration> {
         Some(self.lifetime)
     }
 }
 
-/// Makes stateless reset tokens with the fleet's keys, so that any agent of the service can end
-/// a flow whose own agent is gone.
+/// Derives stateless reset tokens from the fleet's keys, so that any agent of the service can reset
+/// a flow whose agent is gone.
 pub(crate) struct ResetSigner {
     keys: Arc<ArcSwap<FleetKeys>>,
 }
@@ -92,7 +92,7 @@
         Self { keys }
     }
 
-    /// The key that belongs to a connection ID: of the generation that sealed it.
+    /// Returns the reset key of the generation that sealed a connection ID.
     fn key_for(&self, id: &[u8]) -> hmac::Key {
         let keys = self.keys.load();
         let generation = id.first().copied().map(KeyGeneration);
--- a/bins/agent/src/packet/endpoint.rs
+++ b/bins/agent/src/packet/endpoint.rs
@@ -1,9 +1,9 @@
 //! One QUIC endpoint per service address.
 //!
-//! A service may have several addresses, one per agency. With an endpoint for each, the address
-//! that answers leave from and the agency that a request counts against follow from the
-//! endpoint itself; a table of callers, which could lag or overflow, is not needed. All share
-//! one token issuer, hence one space of connection IDs.
+//! A service may have several addresses, one per agency. With one endpoint for each, the endpoint
+//! determines the source address of responses and the agency that a request counts against; no
+//! table of callers, which could be stale or overflow, is needed. All endpoints share one token
+//! issuer and therefore one space of connection IDs.
 
 use std::collections::HashMap;
 use std::io;
@@ -25,52 +25,52 @@
 use crate::packet::connection_id::{ResetSigner, TokenIssuer};
 use crate::packet::socket::ServiceSocket;
 
-/// Most service addresses that one agent answers for.
+/// Largest number of service addresses of one agent.
 const MAX_ENDPOINTS: usize = 1024;
 
-/// Requests that one caller may have open on a flow.
-const STREAMS_PER_FLOW: u32 = 100;
+/// Concurrent requests that a caller may have on a flow.
+const MAX_STREAMS_PER_FLOW: u32 = 100;
 
-/// Keep-alives sent within one idle timeout, so that two may be lost.
+/// Keep-alives sent within one idle timeout; two may be lost.
 const KEEP_ALIVES_PER_TIMEOUT: u32 = 3;
 
-/// Shortest time between stateless resets. After a death many flows need one at once, and a
-/// reset is always smaller than the packet it answers.
+/// Minimum interval between stateless resets. It is short because many flows need a reset at once
+/// when an agent fails; a reset is always smaller than the packet it responds to.
 const RESET_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What all endpoints of an agent share.
+/// The resources that all endpoints of an agent share.
 pub(crate) struct EndpointSetup {
     pub(crate) keys: Arc<ArcSwap<FleetKeys>>,
     pub(crate) issuer: TokenIssuer,
     pub(crate) path: DatagramPath,
-    /// The control socket, which sends when there is a gateway.
+    /// The control socket, from which responses are sent if a gateway is configured.
     pub(crate) control: Arc<UdpSocket>,
     pub(crate) flow_idle: Duration,
 }
 
-/// An endpoint with the socket that feeds it.
+/// An endpoint with its socket.
 #[derive(Clone)]
 struct AddressEndpoint {
     socket: Arc<ServiceSocket>,
     endpoint: Endpoint,
 }
 
-/// The endpoints that were needed so far.
+/// The endpoints, which are opened on the first datagram for their address.
 pub(crate) struct EndpointSet {
     setup: EndpointSetup,
     crypto: Mutex<Arc<QuicServerConfig>>,
     endpoints: Mutex<HashMap<SocketAddrV4, AddressEndpoint>>,
 }
 
-/// What became of a datagram.
+/// What happened to a datagram.
 #[derive(Debug)]
 pub(crate) enum PushResult {
-    /// QUIC has it.
-    Taken,
-    /// QUIC has it, on an endpoint whose flows nobody accepts yet.
-    Opened(Endpoint),
-    /// It was dropped: the queue is full.
-    Overflow,
+    /// It is queued for QUIC.
+    Queued,
+    /// It is queued for QUIC on a new endpoint, whose flows the caller must accept.
+    NewEndpoint(Endpoint),
+    /// It was dropped because the queue is full.
+    QueueFull,
 }
 
 impl EndpointSet {
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Hands a caller's datagram to the endpoint of the service address it was sent to.
+    /// Queues a caller's datagram at the endpoint of the service address it was sent to.
     ///
     /// # Errors
     ///
-    /// What the operating system said when an endpoint could not be opened.
+    /// The operating system's error if an endpoint could not be opened.
     pub(crate) fn push(
         &self,
         address: SocketAddrV4,
@@ -98,9 +98,9 @@
             let socket = Arc::clone(&found.socket);
             drop(endpoints);
             return Ok(if socket.push(caller, datagram) {
-                PushResult::Taken
+                PushResult::Queued
             } else {
-                PushResult::Overflow
+                PushResult::QueueFull
             });
         }
         if endpoints.len() >= MAX_ENDPOINTS {
@@ -109,11 +109,11 @@
         let opened = self.open(address)?;
         opened.socket.push(caller, datagram);
         endpoints.insert(address, opened.clone());
-        Ok(PushResult::Opened(opened.endpoint))
+        Ok(PushResult::NewEndpoint(opened.endpoint))
     }
 
-    /// Uses a renewed certificate for flows that open from now on.
-    pub(crate) fn renew(&self, crypto: Arc<QuicServerConfig>) {
+    /// Uses a new certificate for flows that open from now on.
+    pub(crate) fn set_crypto(&self, crypto: Arc<QuicServerConfig>) {
         *self.crypto.lock() = crypto;
         let config = self.server_config();
         for opened in self.endpoints.lock().values() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// How many flows are open.
+    /// The number of open flows.
     pub(crate) fn open_flows(&self) -> usize {
         let endpoints = self.endpoints.lock();
         let flows = endpoints
@@ -130,8 +130,8 @@
         flows.sum()
     }
 
-    /// Closes every flow and waits, at most `limit`, until the callers were told.
-    pub(crate) async fn close(&self, limit: Duration) {
+    /// Closes all flows and waits up to `timeout` until the close was sent to the callers.
+    pub(crate) async fn close(&self, timeout: Duration) {
         let endpoints: Vec<Endpoint> = {
             let endpoints = self.endpoints.lock();
             let opened = endpoints.values();
@@ -140,20 +140,20 @@
         for endpoint in &endpoints {
             endpoint.close(h3_no_error(), b"agent stops");
         }
-        let told = async {
+        let closed = async {
             for endpoint in &endpoints {
                 endpoint.wait_idle().await;
             }
         };
-        let _ = tokio::time::timeout(limit, told).await;
+        let _ = tokio::time::timeout(timeout, closed).await;
     }
 
     fn open(&self, address: SocketAddrV4) -> io::Result<AddressEndpoint> {
-        let outlet = match self.setup.path.gateway() {
+        let send_socket = match self.setup.path.gateway() {
             Some(_) => Arc::clone(&self.setup.control),
             None => Arc::new(bind_service_address(address)?),
         };
-        let socket = Arc::new(ServiceSocket::new(address, self.setup.path, outlet));
+        let socket = Arc::new(ServiceSocket::new(address, self.setup.path, send_socket));
         let endpoint = Endpoint::new_with_abstract_socket(
             self.endpoint_config(),
             Some(self.server_config()),
@@ -169,10 +169,10 @@
         let issuer = self.setup.issuer.clone();
         config.cid_generator(move || Box::new(issuer.clone()));
         config.min_reset_interval(RESET_INTERVAL);
-        // A caller that sent larger datagrams would lose them: they do not fit a forward frame.
+        // Larger datagrams from callers would be lost: they do not fit in a forward frame.
         let largest = u16::try_from(MAX_DATAGRAM_BYTES).unwrap_or(1200);
         if let Err(error) = config.max_udp_payload_size(largest) {
-            unreachable!("the frame's limit is a legal datagram size: {error}");
+            unreachable!("the frame limit is a valid datagram size: {error}");
         }
         config
     }
@@ -189,18 +189,18 @@
         let idle = IdleTimeout::try_from(self.setup.flow_idle).ok();
         config.max_idle_timeout(idle);
         config.keep_alive_interval(Some(self.setup.flow_idle / KEEP_ALIVES_PER_TIMEOUT));
-        config.max_concurrent_bidi_streams(VarInt::from_u32(STREAMS_PER_FLOW));
+        config.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS_PER_FLOW));
         config.mtu_discovery_config(None);
         config
     }
 }
 
-/// HTTP/3's code for "closed without error" (RFC 9114, H3_NO_ERROR).
+/// The HTTP/3 error code H3_NO_ERROR (RFC 9114): closed without error.
 fn h3_no_error() -> VarInt {
     VarInt::from_u32(0x100)
 }
 
-/// Opens a socket that sends from a service address which this instance owns.
+/// Opens a socket that sends from a service address that is assigned to this instance.
 fn bind_service_address(address: SocketAddrV4) -> io::Result<UdpSocket> {
     let socket = socket2::Socket::new(
         socket2::Domain::IPV4,
--- a/bins/agent/src/packet/ingress.rs
+++ b/bins/agent/src/packet/ingress.rs
@@ -1,4 +1,4 @@
-//! Reads the control socket and gives each datagram to whom it is for.
+//! Reads the control socket and dispatches its datagrams.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -18,17 +18,17 @@
 use crate::packet::arrival::ArrivalRouter;
 use crate::packet::endpoint::PushResult;
 
-/// Room for the largest UDP datagram.
+/// Receive buffer, large enough for any UDP datagram.
 const BUFFER_BYTES: usize = 65_536;
 
-/// Datagrams read in a row before other tasks get a turn.
+/// Datagrams read before the task yields.
 const BATCH_DATAGRAMS: usize = 64;
 
-/// Where a frame names its kind.
+/// Offset of the frame kind.
 const KIND_OFFSET: usize = 1;
 
-/// Refused frames that are logged, per second; all are counted.
-const REFUSALS_LOGGED: u32 = 10;
+/// Refused frames logged per second. All are counted.
+const MAX_LOGGED_REFUSALS_PER_SECOND: u32 = 10;
 
 /// The reader of the control socket.
 pub(crate) struct PacketIngress {
@@ -43,12 +43,12 @@
         Self {
             agent,
             socket,
-            refusals: LogLimiter::new(REFUSALS_LOGGED),
+            refusals: LogLimiter::new(MAX_LOGGED_REFUSALS_PER_SECOND),
             router: ArrivalRouter::new(),
         }
     }
 
-    /// Reads until the task is ended.
+    /// Reads datagrams until the task is aborted.
     pub(crate) async fn run(mut self) {
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
@@ -64,15 +64,15 @@
     fn read_batch(&mut self, buffer: &mut [u8]) {
         for _ in 0..BATCH_DATAGRAMS {
             match self.socket.try_recv_from(buffer) {
-                Ok((length, _)) => self.accept(&buffer[..length]),
+                Ok((length, _)) => self.handle_datagram(&buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // An answer that could not be delivered comes back here; the socket is well.
+                // An ICMP error for an earlier response; the socket itself still works.
                 Err(_) => {}
             }
         }
     }
 
-    fn accept(&mut self, datagram: &[u8]) {
+    fn handle_datagram(&mut self, datagram: &[u8]) {
         let kind = datagram.get(KIND_OFFSET).copied();
         if kind == Some(FrameKind::Membership as u8) {
             self.agent.fleet.accept_datagram(datagram);
@@ -80,7 +80,7 @@
         }
         let keys = self.agent.keys.load();
         match open_forward(datagram, &keys) {
-            Ok((header, packet)) => self.accept_packet(&header, packet),
+            Ok((header, packet)) => self.handle_packet(&header, packet),
             Err(error) => {
                 self.agent.metrics.frames_refused.add(1, &[]);
                 if self.refusals.allows(self.agent.clock.now()) {
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Gives the caller's packet to QUIC, or to the agent that holds or shall open its flow.
-    fn accept_packet(&mut self, header: &ForwardHeader, packet: &[u8]) {
+    /// Passes a caller's packet to QUIC, or to the agent that holds or will accept its flow.
+    fn handle_packet(&mut self, header: &ForwardHeader, packet: &[u8]) {
         if !self.agent.drain.accepts_packets() {
             self.agent.metrics.packets.count("dropped");
             return;
@@ -105,21 +105,21 @@
                 return self.log_refusal(header, &error.to_string());
             }
         };
-        let opens = view.token.is_none();
+        let is_opening = view.token.is_none();
         match self.router.decide(&self.agent, header, view) {
-            // For a flow that QUIC does not know it sends a stateless reset by itself.
+            // QUIC itself sends a stateless reset for an unknown flow.
             ArrivalDecision::Accept => self.push(header, packet),
             ArrivalDecision::Reset => {
                 self.agent.metrics.packets.count("reset");
                 self.push(header, packet);
             }
             ArrivalDecision::Forward { agent } => {
-                if opens {
+                if is_opening {
                     self.agent.metrics.flows.count("handed_on");
                     info!(self.agent.log, "flow handed on";
                         "decision" => DecisionKind::FlowHandedOn, "peer" => agent.to_string());
                 }
-                self.pass_on(header, packet, agent);
+                self.forward_to_peer(header, packet, agent);
             }
             ArrivalDecision::Refuse { reason } => {
                 self.agent.metrics.packets.count("wrong_service");
@@ -131,9 +131,9 @@
     fn push(&mut self, header: &ForwardHeader, packet: &[u8]) {
         let address = header.service_address;
         match self.agent.endpoints.push(address, header.caller, packet) {
-            Ok(PushResult::Taken) => {}
-            Ok(PushResult::Opened(endpoint)) => self.serve(address, endpoint),
-            Ok(PushResult::Overflow) => self.agent.metrics.packets.count("dropped"),
+            Ok(PushResult::Queued) => {}
+            Ok(PushResult::NewEndpoint(endpoint)) => self.serve_endpoint(address, endpoint),
+            Ok(PushResult::QueueFull) => self.agent.metrics.packets.count("dropped"),
             Err(error) => {
                 self.agent.metrics.packets.count("dropped");
                 self.log_refusal(header, &error.to_string());
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Logs a refused packet, up to a rate: a packet of another service must never reach this
-    /// backend server, and an operator must see which balancer's view is behind it.
+    /// Logs a refused packet, rate-limited. A packet of another service must never reach this
+    /// backend server, and operators need to see which balancer's view caused it.
     fn log_refusal(&mut self, header: &ForwardHeader, reason: &str) {
         if self.refusals.allows(self.agent.clock.now()) {
             warn!(self.agent.log, "packet refused";
@@ -152,7 +152,7 @@
         }
     }
 
-    fn pass_on(&self, header: &ForwardHeader, packet: &[u8], holder: AgentAddress) {
+    fn forward_to_peer(&self, header: &ForwardHeader, packet: &[u8], holder: AgentAddress) {
         self.agent.metrics.packets.count("passed_on");
         let header = ForwardHeader {
             hops: header.hops + 1,
@@ -164,11 +164,11 @@
             source: self.agent.address().0,
             destination: holder.0,
         };
-        // A lost datagram is repaired by QUIC.
+        // QUIC retransmits a lost datagram.
         let _ = self.agent.datagrams.send(&self.socket, &ends, &frame);
     }
 
-    fn serve(&self, address: SocketAddrV4, endpoint: Endpoint) {
+    fn serve_endpoint(&self, address: SocketAddrV4, endpoint: Endpoint) {
         info!(self.agent.log, "service address opened"; "address" => address.to_string());
         tokio::spawn(accept_flows(Arc::clone(&self.agent), address, endpoint));
     }
--- a/bins/agent/src/packet/mod.rs
+++ b/bins/agent/src/packet/mod.rs
@@ -1,7 +1,7 @@
-//! The packet side: forwarded datagrams in, answers out, QUIC in between.
+//! The packet path: receives forwarded datagrams, runs QUIC on them and sends the responses.
 //!
 //! ```text
-//! balancer --UDP frame--> control socket --> PacketIngress --> FlowEndpoint (one per address)
+//! balancer --UDP frame--> control socket --> PacketIngress --> EndpointSet (one per address)
 //!                                                                |  ServiceSocket queue
 //!                                                                v
 //! caller <------- direct server return, source = service address -- quinn
@@ -10,8 +10,8 @@
 mod arrival;
 mod connection_id;
 mod endpoint;
+mod handshake;
 mod ingress;
-mod opening;
 mod socket;
 mod tls;
 
--- a/bins/agent/src/packet/socket.rs
+++ b/bins/agent/src/packet/socket.rs
@@ -1,5 +1,5 @@
-//! A QUIC socket without a socket of its own: fed with forwarded datagrams, answering callers
-//! from a service address.
+//! A virtual QUIC socket: it receives forwarded datagrams from a queue and sends to callers from
+//! a service address.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -16,11 +16,11 @@
 use quinn::{AsyncUdpSocket, UdpPoller};
 use tokio::net::UdpSocket;
 
-/// Datagrams that may wait for QUIC before more are dropped. QUIC repairs the loss; without the
-/// bound a stalled process would grow until it is killed with all its flows.
-const QUEUE_DATAGRAMS: usize = 4096;
+/// Datagrams queued for QUIC before more are dropped. QUIC recovers from the loss; without the
+/// limit, the queue of a stalled process would grow until it is killed with all its flows.
+const MAX_QUEUED_DATAGRAMS: usize = 4096;
 
-/// One caller datagram that waits to be processed.
+/// A caller's datagram in the queue.
 struct QueuedDatagram {
     caller: SocketAddrV4,
     bytes: Vec<u8>,
@@ -29,40 +29,44 @@
 #[derive(Default)]
 struct ReceiveQueue {
     datagrams: VecDeque<QueuedDatagram>,
-    reader: Option<Waker>,
+    waker: Option<Waker>,
 }
 
 /// The socket of one service address.
 pub(crate) struct ServiceSocket {
     address: SocketAddrV4,
     path: DatagramPath,
-    /// Sends only; what arrives for callers' flows comes through the queue.
-    outlet: Arc<UdpSocket>,
+    /// Only sends; callers' datagrams arrive through the queue.
+    send_socket: Arc<UdpSocket>,
     queue: Mutex<ReceiveQueue>,
 }
 
 impl ServiceSocket {
-    pub(crate) fn new(address: SocketAddrV4, path: DatagramPath, outlet: Arc<UdpSocket>) -> Self {
+    pub(crate) fn new(
+        address: SocketAddrV4,
+        path: DatagramPath,
+        send_socket: Arc<UdpSocket>,
+    ) -> Self {
         Self {
             address,
             path,
-            outlet,
+            send_socket,
             queue: Mutex::default(),
         }
     }
 
-    /// Hands in a caller's datagram; `false` when the queue is full and it was dropped.
+    /// Queues a caller's datagram; returns `false` if the queue is full and it was dropped.
     pub(crate) fn push(&self, caller: SocketAddrV4, datagram: &[u8]) -> bool {
         let bytes = datagram.to_vec();
         let mut queue = self.queue.lock();
-        if queue.datagrams.len() >= QUEUE_DATAGRAMS {
+        if queue.datagrams.len() >= MAX_QUEUED_DATAGRAMS {
             return false;
         }
         queue.datagrams.push_back(QueuedDatagram { caller, bytes });
-        let reader = queue.reader.take();
+        let waker = queue.waker.take();
         drop(queue);
-        if let Some(reader) = reader {
-            reader.wake();
+        if let Some(waker) = waker {
+            waker.wake();
         }
         true
     }
@@ -79,11 +83,11 @@
 
 impl AsyncUdpSocket for ServiceSocket {
     fn create_io_poller(self: Arc<Self>) -> Pin<Box<dyn UdpPoller>> {
-        let outlet = Arc::clone(&self.outlet);
-        let make = move || wait_writable(Arc::clone(&outlet));
+        let send_socket = Arc::clone(&self.send_socket);
+        let make_future = move || wait_writable(Arc::clone(&send_socket));
         Box::pin(WritablePoller {
-            make,
-            waiting: Mutex::new(None),
+            make_future,
+            pending: Mutex::new(None),
         })
     }
 
@@ -99,12 +103,12 @@
         self.path.start_datagram(&ends, &mut datagram);
         datagram.extend_from_slice(transmit.contents);
         match self
-            .outlet
+            .send_socket
             .try_send_to(&datagram, self.path.next_hop(caller))
         {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Err(error),
-            // Any other error is one datagram lost: the system reports here what an earlier
-            // datagram to some other caller met. Passed on, it would close this connection.
+            // Any other error means one lost datagram: the system may report the failure of an
+            // earlier datagram to another caller. Returned, it would close this connection.
             _ => Ok(()),
         }
     }
@@ -138,7 +142,7 @@
         if count > 0 {
             return Poll::Ready(Ok(count));
         }
-        queue.reader = Some(context.waker().clone());
+        queue.waker = Some(context.waker().clone());
         Poll::Pending
     }
 
@@ -147,16 +151,16 @@
     }
 }
 
-async fn wait_writable(outlet: Arc<UdpSocket>) -> io::Result<()> {
-    outlet.writable().await
+async fn wait_writable(socket: Arc<UdpSocket>) -> io::Result<()> {
+    socket.writable().await
 }
 
-/// Waits until the outlet takes datagrams again. Each connection has its own, since a socket
-/// remembers only the last task that polled it directly.
+/// Waits until the send socket is writable. Each connection has its own poller, because a socket
+/// keeps only the waker of the last task that polled it directly.
 struct WritablePoller<M, F> {
-    make: M,
-    /// Boxed so that the poller itself need not be pinned in place.
-    waiting: Mutex<Option<Pin<Box<F>>>>,
+    make_future: M,
+    /// Boxed so that the poller itself is `Unpin`.
+    pending: Mutex<Option<Pin<Box<F>>>>,
 }
 
 impl<M, F> fmt::Debug for WritablePoller<M, F> {
@@ -172,11 +176,11 @@
 {
     fn poll_writable(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let poller = self.get_mut();
-        let waiting = poller.waiting.get_mut();
-        let future = waiting.get_or_insert_with(|| Box::pin((poller.make)()));
+        let pending = poller.pending.get_mut();
+        let future = pending.get_or_insert_with(|| Box::pin((poller.make_future)()));
         let result = future.as_mut().poll(context);
         if result.is_ready() {
-            *waiting = None;
+            *pending = None;
         }
         result
     }
--- a/bins/agent/src/packet/tls.rs
+++ b/bins/agent/src/packet/tls.rs
@@ -1,4 +1,4 @@
-//! The service's certificate and key.
+//! Loads the service's certificate and private key.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,35 +11,35 @@
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, pem};
 use thiserror::Error;
 
-/// The one protocol that flows speak.
+/// The only application protocol of flows.
 const ALPN_HTTP3: &[u8] = b"h3";
 
-/// Why the certificate or the key cannot be used.
+/// Why the certificate or the private key cannot be used.
 #[derive(Debug, Error)]
 pub enum TlsError {
-    /// A file is not readable PEM of the expected kind.
+    /// A file cannot be read or is not PEM of the expected kind.
     #[error("{path}: {source}")]
     Pem {
-        /// The file.
+        /// The file in question.
         path: PathBuf,
-        /// What the PEM reader said.
+        /// The error of the PEM parser.
         source: pem::Error,
     },
-    /// The certificate file holds no certificate.
-    #[error("{path} holds no certificate")]
+    /// The certificate file contains no certificate.
+    #[error("{path} contains no certificate")]
     NoCertificate {
-        /// The file.
+        /// The certificate file.
         path: PathBuf,
     },
-    /// The certificate and the key do not fit, or are of no usable kind.
-    #[error("certificate and key: {0}")]
-    Refused(#[from] rustls::Error),
-    /// The TLS library offers no cipher suite that QUIC needs.
-    #[error("cipher suites: {0}")]
-    Suite(#[from] NoInitialCipherSuite),
+    /// The certificate and the key do not match, or are of an unsupported kind.
+    #[error("certificate or private key rejected: {0}")]
+    Rejected(#[from] rustls::Error),
+    /// The TLS library provides no cipher suite that QUIC can start with.
+    #[error("no cipher suite for QUIC: {0}")]
+    NoCipherSuite(#[from] NoInitialCipherSuite),
 }
 
-/// Where the certificate and key stand.
+/// The paths of the certificate and the private key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct TlsFiles {
     pub(crate) certificate: PathBuf,
@@ -47,15 +47,15 @@
 }
 
 impl TlsFiles {
-    /// The files that the settings name.
-    pub(crate) fn of(settings: &AgentSettings) -> Self {
+    /// Returns the paths from the settings.
+    pub(crate) fn from_settings(settings: &AgentSettings) -> Self {
         Self {
             certificate: settings.certificate.clone(),
             private_key: settings.private_key.clone(),
         }
     }
 
-    /// When each file was last changed, to notice a renewal.
+    /// Returns the modification times, by which a renewal is detected.
     pub(crate) fn modified(&self) -> io::Result<(SystemTime, SystemTime)> {
         let certificate = std::fs::metadata(&self.certificate)?.modified()?;
         let private_key = std::fs::metadata(&self.private_key)?.modified()?;
@@ -63,11 +63,11 @@
     }
 }
 
-/// Reads both files and builds the TLS side of the QUIC server.
+/// Reads both files and builds the TLS configuration of the QUIC server.
 ///
 /// # Errors
 ///
-/// A [`TlsError`] that names the file to mend.
+/// A [`TlsError`]; it names the file if one is unreadable or lacks a certificate.
 pub(crate) fn load_server_crypto(files: &TlsFiles) -> Result<Arc<QuicServerConfig>, TlsError> {
     let chain = read_chain(&files.certificate)?;
     let key = PrivateKeyDer::from_pem_file(&files.private_key).map_err(|source| TlsError::Pem {
@@ -80,8 +80,8 @@
         .with_no_client_auth()
         .with_single_cert(chain, key)?;
     config.alpn_protocols = vec![ALPN_HTTP3.to_vec()];
-    // Data sent with a resumed handshake can be replayed by anybody who recorded it; a replayed
-    // filing would run twice, so it is not accepted.
+    // Anyone who recorded 0-RTT data can replay it, and a replayed filing would run twice, so
+    // early data is not accepted.
     config.max_early_data_size = 0;
     Ok(Arc::new(QuicServerConfig::try_from(config)?))
 }
--- a/bins/agent/src/relay/body.rs
+++ b/bins/agent/src/relay/body.rs
@@ -1,4 +1,4 @@
-//! An answer's body on its way from a peer.
+//! The body of a response that arrives from a peer.
 
 use std::sync::Arc;
 
@@ -10,16 +10,16 @@
 use crate::relay::client::RelayPool;
 use crate::relay::stream::RelayStream;
 
-/// A body that holds its stream until it ended. Dropped before that, it closes the stream, by
-/// which the peer knows that nobody waits any more.
+/// A body that holds its stream until it ends. Dropping it early closes the stream, which tells
+/// the peer to cancel.
 #[derive(Debug)]
 pub(crate) struct RelayBody {
     stream: Option<RelayStream>,
     peer: AgentAddress,
     attempt: AttemptId,
     pool: Arc<RelayPool>,
-    /// Feeds are silent for as long as nothing happens; others may not be.
-    quiet_allowed: bool,
+    /// Whether the body may be idle indefinitely, as feeds are; other bodies time out.
+    idle_allowed: bool,
 }
 
 impl RelayBody {
@@ -34,14 +34,14 @@
             peer,
             attempt,
             pool,
-            quiet_allowed: false,
+            idle_allowed: false,
         }
     }
 
-    /// Whether it may be silent for long.
+    /// Sets whether the body may be idle indefinitely.
     #[must_use]
-    pub(crate) fn with_quiet_allowed(mut self, quiet_allowed: bool) -> Self {
-        self.quiet_allowed = quiet_allowed;
+    pub(crate) fn with_idle_allowed(mut self, idle_allowed: bool) -> Self {
+        self.idle_allowed = idle_allowed;
         self
     }
 
@@ -49,18 +49,18 @@
         let Some(stream) = self.stream.as_mut() else {
             return Ok(None);
         };
-        let message = if self.quiet_allowed {
+        let message = if self.idle_allowed {
             stream.receive().await
         } else {
             let waiting = tokio::time::timeout(BODY_CHUNK_TIMEOUT, stream.receive());
             waiting.await.map_err(|_| TruncatedBody)?
         };
         match message {
-            Ok(RelayMessage::Chunk(piece)) => Ok(Some(Bytes::from(piece))),
+            Ok(RelayMessage::Chunk(chunk)) => Ok(Some(Bytes::from(chunk))),
             Ok(RelayMessage::End { attempt, load }) if attempt == self.attempt => {
                 self.pool.placement.record_report(self.peer, load);
                 if let Some(stream) = self.stream.take() {
-                    self.pool.put_back(self.peer, stream);
+                    self.pool.release(self.peer, stream);
                 }
                 Ok(None)
             }
--- a/bins/agent/src/relay/client.rs
+++ b/bins/agent/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! Relaying a request to a peer's gate.
+//! Relays requests to peers' gates.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,62 +25,62 @@
 /// Idle streams kept for each peer.
 const MAX_IDLE_PER_PEER: usize = 8;
 
-/// How long an idle stream is trusted. A stream can go silent for good while new ones work;
-/// a request sent on such a one would wait until its deadline and end unknown.
-const IDLE_TRUST: Duration = Duration::from_secs(2);
+/// How long an idle stream may be reused. A stream can go silent for good while new ones still
+/// work; a request sent on it would wait until its deadline and end unknown.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// Longest an attempt to connect may take.
+/// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for a peer to show that it has the head of a request.
-const READY_WAIT: Duration = Duration::from_millis(250);
+/// How long to wait for a peer to acknowledge the head of a request.
+const READY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long after the deadline the peer's own verdict is waited for. The peer ends its attempt
-/// before the deadline, so its word is normally here by then.
-const VERDICT_WAIT: Duration = Duration::from_millis(20);
+/// How long after the deadline to wait for the peer's response. The peer ends its attempt before
+/// the deadline, so its response has normally arrived by then.
+const RESPONSE_GRACE: Duration = Duration::from_millis(20);
 
-/// When to come back after a refusal that names no time.
-const DEFAULT_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay after a refusal that names none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// How a relay ended.
 #[derive(Debug)]
-pub(crate) enum RelayEnd {
-    /// The peer had it, and this came of it.
+pub(crate) enum RelayOutcome {
+    /// The request was sent to the peer; the attempt ended like this.
     Ended(AttemptOutcome),
-    /// It was never handed to the peer: no stream could be opened, or the stream is dead.
-    NotHandedOver,
+    /// The peer never received the whole request: no stream could be opened, or it is dead.
+    PeerUnreachable,
 }
 
-impl RelayEnd {
-    /// The word in the metrics.
-    pub(crate) fn word(&self) -> &'static str {
+impl RelayOutcome {
+    /// The value of the metric attribute.
+    pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::Ended(AttemptOutcome::Answered(_)) => "answered",
             Self::Ended(AttemptOutcome::NotRun(_)) => "refused",
             Self::Ended(AttemptOutcome::Unknown) => "unknown",
-            Self::NotHandedOver => "unreached",
+            Self::PeerUnreachable => "unreached",
         }
     }
 }
 
-/// Streams to peers that wait for their next request.
+/// A pool of idle streams to peers.
 #[derive(Debug)]
 pub(crate) struct RelayPool {
     path: StreamPath,
     keys: Arc<ArcSwap<FleetKeys>>,
     idle: Mutex<HashMap<AgentAddress, Vec<RelayStream>>>,
-    /// Takes the loads that peers send along.
+    /// Receives the load reports that peers send with their responses.
     pub(crate) placement: Arc<SharedPlacement>,
 }
 
-/// What goes with a request besides itself.
+/// What is sent along with a relayed request.
 #[derive(Clone, Debug)]
-pub(crate) struct RelayTerms {
+pub(crate) struct RelayContext {
     pub(crate) attempt: AttemptId,
     pub(crate) service: ServiceId,
     pub(crate) revision: ConfigRevision,
     pub(crate) holder: AgentAddress,
-    /// The ticket, when the peer is the request's home.
+    /// The ticket, if the peer is the request's home.
     pub(crate) ticket: Option<String>,
 }
 
@@ -98,49 +98,49 @@
         }
     }
 
-    /// Sends the request to a peer and waits for the start of its answer.
+    /// Sends the request to a peer and waits for the head of its response.
     pub(crate) async fn relay(
         self: &Arc<Self>,
         peer: AgentAddress,
         request: &CallerRequest,
-        terms: RelayTerms,
-    ) -> RelayEnd {
-        let attempt = terms.attempt;
+        context: RelayContext,
+    ) -> RelayOutcome {
+        let attempt = context.attempt;
         let stream = match self.take_idle(peer) {
             Some(stream) => Some(stream),
             None => self.open(peer, request).await,
         };
         let Some(mut stream) = stream else {
-            return RelayEnd::NotHandedOver;
+            return RelayOutcome::PeerUnreachable;
         };
-        let limit = READY_WAIT.min(request.time_left());
-        let offering = offer(&mut stream, request, terms);
-        match tokio::time::timeout(limit, offering).await {
-            Ok(Ok(Offer::Ready)) => {}
-            Ok(Ok(Offer::Refused(refusal))) => {
-                return RelayEnd::Ended(AttemptOutcome::NotRun(refusal));
+        let timeout = READY_TIMEOUT.min(request.time_left());
+        let offering = offer(&mut stream, request, context);
+        match tokio::time::timeout(timeout, offering).await {
+            Ok(Ok(OfferOutcome::Ready)) => {}
+            Ok(Ok(OfferOutcome::Refused(refusal))) => {
+                return RelayOutcome::Ended(AttemptOutcome::NotRun(refusal));
             }
-            // The peer runs nothing before it has the end of the body.
-            Ok(Err(_)) | Err(_) => return RelayEnd::NotHandedOver,
+            // The peer starts nothing before it has received the end of the body.
+            Ok(Err(_)) | Err(_) => return RelayOutcome::PeerUnreachable,
         }
         let exchange = async {
             stream.send(&RelayMessage::BodyEnd).await?;
-            receive_verdict(&mut stream, attempt).await
+            receive_response(&mut stream, attempt).await
         };
-        let limit = request.deadline + VERDICT_WAIT;
-        let Ok(Ok(verdict)) = tokio::time::timeout_at(limit, exchange).await else {
-            return RelayEnd::Ended(AttemptOutcome::Unknown);
+        let limit = request.deadline + RESPONSE_GRACE;
+        let Ok(Ok(response)) = tokio::time::timeout_at(limit, exchange).await else {
+            return RelayOutcome::Ended(AttemptOutcome::Unknown);
         };
-        let quiet_allowed = request.is_feed();
-        RelayEnd::Ended(self.conclude(peer, attempt, verdict, stream, quiet_allowed))
+        let idle_allowed = request.is_feed();
+        RelayOutcome::Ended(self.handle_response(peer, attempt, response, stream, idle_allowed))
     }
 
-    /// Keeps a stream whose last answer ended whole.
-    pub(crate) fn put_back(&self, peer: AgentAddress, mut stream: RelayStream) {
-        stream.used = Instant::now();
+    /// Returns a stream to the pool after a complete response.
+    pub(crate) fn release(&self, peer: AgentAddress, mut stream: RelayStream) {
+        stream.last_used = Instant::now();
         let mut idle = self.idle.lock();
         let streams = idle.entry(peer).or_default();
-        streams.retain(|stream| stream.used.elapsed() < IDLE_TRUST);
+        streams.retain(|stream| stream.last_used.elapsed() < MAX_IDLE_TIME);
         if streams.len() < MAX_IDLE_PER_PEER {
             streams.push(stream);
         }
@@ -150,7 +150,7 @@
         let mut idle = self.idle.lock();
         let streams = idle.get_mut(&peer)?;
         while let Some(mut stream) = streams.pop() {
-            if stream.used.elapsed() < IDLE_TRUST && stream.is_quiet() {
+            if stream.last_used.elapsed() < MAX_IDLE_TIME && stream.is_idle() {
                 return Some(stream);
             }
         }
@@ -159,33 +159,33 @@
     }
 
     async fn open(&self, peer: AgentAddress, request: &CallerRequest) -> Option<RelayStream> {
-        let limit = CONNECT_TIMEOUT.min(request.time_left());
-        let connecting = tokio::time::timeout(limit, self.path.connect(peer.0));
+        let timeout = CONNECT_TIMEOUT.min(request.time_left());
+        let connecting = tokio::time::timeout(timeout, self.path.connect(peer.0));
         let stream = connecting.await.ok()?.ok()?;
         Some(RelayStream::new(stream, Arc::clone(&self.keys)))
     }
 
-    fn conclude(
+    fn handle_response(
         self: &Arc<Self>,
         peer: AgentAddress,
         attempt: AttemptId,
-        verdict: Verdict,
+        response: PeerResponse,
         stream: RelayStream,
-        quiet_allowed: bool,
+        idle_allowed: bool,
     ) -> AttemptOutcome {
-        match verdict {
-            Verdict::Refused(refusal, load) => {
+        match response {
+            PeerResponse::Refused(refusal, load) => {
                 self.placement.record_report(peer, load);
-                self.put_back(peer, stream);
+                self.release(peer, stream);
                 AttemptOutcome::NotRun(refusal)
             }
-            Verdict::Lost => {
-                self.put_back(peer, stream);
+            PeerResponse::Lost => {
+                self.release(peer, stream);
                 AttemptOutcome::Unknown
             }
-            Verdict::Head(status, headers) => {
+            PeerResponse::Head(status, headers) => {
                 let body = RelayBody::new(stream, peer, attempt, Arc::clone(self))
-                    .with_quiet_allowed(quiet_allowed);
+                    .with_idle_allowed(idle_allowed);
                 AttemptOutcome::Answered(AttemptResponse {
                     status,
                     headers,
@@ -196,61 +196,63 @@
     }
 }
 
-enum Verdict {
+/// What a peer sent after the whole request.
+enum PeerResponse {
     Refused(Refusal, Option<GateReport>),
     Lost,
     Head(StatusCode, HeaderMap),
 }
 
-enum Offer {
+/// What a peer sent before the end of the request's body.
+enum OfferOutcome {
     Ready,
     Refused(Refusal),
 }
 
-/// Sends all but the end of the request's body and waits until the peer shows that it has it.
+/// Sends the request without the end marker of its body and waits for the peer to acknowledge it.
 async fn offer(
     stream: &mut RelayStream,
     request: &CallerRequest,
-    terms: RelayTerms,
-) -> Result<Offer, StreamError> {
-    let expected = terms.attempt;
+    context: RelayContext,
+) -> Result<OfferOutcome, StreamError> {
+    let expected = context.attempt;
     let mut fields = headers::to_wire(&request.headers);
     fields.push(WireHeader {
         name: headers::ATTEMPTS_LEFT.as_str().to_owned(),
         value: request.allowance.left().to_string().into_bytes(),
     });
     let head = RelayRequest {
-        attempt: terms.attempt,
-        service: terms.service,
-        revision: terms.revision,
-        holder: terms.holder,
+        attempt: context.attempt,
+        service: context.service,
+        revision: context.revision,
+        holder: context.holder,
         agency: request.agency.clone(),
         time_left: request.time_left(),
-        ticket: terms.ticket,
+        ticket: context.ticket,
         method: request.method.as_str().to_owned(),
         path: request.path.clone(),
         headers: fields,
     };
     stream.send(&RelayMessage::Request(head)).await?;
     stream
-        .send_pieces(&request.body, RelayMessage::Body)
+        .send_chunks(&request.body, RelayMessage::Body)
         .await?;
     match stream.receive().await? {
-        RelayMessage::Ready(attempt) if attempt == expected => Ok(Offer::Ready),
+        RelayMessage::Ready(attempt) if attempt == expected => Ok(OfferOutcome::Ready),
         RelayMessage::Refused {
             attempt,
             reason,
             retry_after,
             ..
-        } if attempt == expected => Ok(Offer::Refused(Refusal::new(reason, retry_after))),
+        } if attempt == expected => Ok(OfferOutcome::Refused(Refusal::new(reason, retry_after))),
         _ => Err(StreamError::Ended),
     }
 }
 
-async fn receive_verdict(
+async fn receive_response(
     stream: &mut RelayStream,
     expected: AttemptId,
-) -> Result<Verdict, StreamError> {
+) -> Result<PeerResponse, StreamError> {
     match stream.receive().await? {
         RelayMessage::Refused {
             attempt,
@@ -261,22 +263,22 @@
         } if attempt == expected => {
             let refusal = Refusal::new(reason, retry_after)
                 .with_returned(attempts_left.map(AttemptAllowance::from_left));
-            Ok(Verdict::Refused(refusal, load))
+            Ok(PeerResponse::Refused(refusal, load))
         }
-        RelayMessage::Head(head) if head.attempt == expected => Ok(verdict_of(&head)),
-        RelayMessage::Lost(attempt) if attempt == expected => Ok(Verdict::Lost),
+        RelayMessage::Head(head) if head.attempt == expected => Ok(to_response(&head)),
+        RelayMessage::Lost(attempt) if attempt == expected => Ok(PeerResponse::Lost),
         _ => Err(StreamError::Ended),
     }
 }
 
-fn verdict_of(head: &RelayHead) -> Verdict {
+fn to_response(head: &RelayHead) -> PeerResponse {
     match StatusCode::from_u16(head.status) {
-        Ok(status) => Verdict::Head(status, headers::from_wire(&head.headers)),
-        Err(_) => Verdict::Lost,
+        Ok(status) => PeerResponse::Head(status, headers::from_wire(&head.headers)),
+        Err(_) => PeerResponse::Lost,
     }
 }
 
-/// The refusal of a request that no peer could be reached for.
-pub(crate) fn unreached() -> Refusal {
-    Refusal::new(RefusalReason::NoTarget, DEFAULT_RETRY)
+/// The refusal of a request for which no peer was reachable.
+pub(crate) fn no_reachable_peer() -> Refusal {
+    Refusal::new(RefusalReason::NoTarget, DEFAULT_RETRY_AFTER)
 }
--- a/bins/agent/src/relay/mod.rs
+++ b/bins/agent/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Requests on their way between agents, over TCP.
+//! Relays requests between agents over TCP.
 
 mod body;
 mod client;
@@ -6,5 +6,5 @@
 mod stream;
 
 pub(crate) use body::RelayBody;
-pub(crate) use client::{RelayEnd, RelayPool, RelayTerms, unreached};
+pub(crate) use client::{RelayContext, RelayOutcome, RelayPool, no_reachable_peer};
 pub(crate) use server::serve_relay;
--- a/bins/agent/src/relay/server.rs
+++ b/bins/agent/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! Requests that peers relay to this agent's gate, or to its ledger.
+//! Serves requests that peers relay to this agent's gate or ledger.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 use crate::path::normalize_path;
 use crate::relay::stream::{RelayStream, StreamError};
 
-/// Serves a stream whose first frame is of kind `Relay`, one request after the other.
+/// Serves a stream whose first frame is of kind `Relay`, one request after another.
 pub(crate) async fn serve_relay(agent: Arc<Agent>, stream: TcpStream, first: Vec<u8>) {
     let keys: Arc<FleetKeys> = agent.keys.load_full();
     let Ok(mut message) = open_message::<RelayMessage>(FrameKind::Relay, &first, &keys) else {
@@ -53,7 +53,7 @@
     if head.service != agent.service {
         let refusal = Refusal::new(RefusalReason::WrongService, std::time::Duration::ZERO);
         send_refusal(stream, attempt, refusal, None).await?;
-        // The rest of the request is on its way; a fresh stream starts clean.
+        // The rest of the request is still in flight; closing the stream discards it.
         return Err(StreamError::Ended);
     }
     stream.send(&RelayMessage::Ready(attempt)).await?;
@@ -63,28 +63,28 @@
         "home" => head.ticket.is_some());
     let ticket = head.ticket.clone();
     let request = to_request(head, body, arrived);
-    let running = run(agent, request, attempt, ticket);
+    let running = run_request(agent, request, attempt, ticket);
     tokio::pin!(running);
-    // A peer that gives up says so, or closes the stream; dropping the run then withdraws or
-    // cancels it.
-    let end = tokio::select! {
-        end = &mut running => end,
-        given_up = stream.receive() => return given_up.and(Err(StreamError::Ended)),
+    // A peer that gives up sends a message or closes the stream; dropping the run then removes
+    // it from the queue or cancels it.
+    let outcome = tokio::select! {
+        outcome = &mut running => outcome,
+        aborted = stream.receive() => return aborted.and(Err(StreamError::Ended)),
     };
-    send_end(agent, stream, attempt, end).await
+    send_outcome(agent, stream, attempt, outcome).await
 }
 
-async fn run(
+async fn run_request(
     agent: &Arc<Agent>,
     request: CallerRequest,
     attempt: AttemptId,
     ticket: Option<String>,
 ) -> AttemptOutcome {
     if normalize_path(&request.path) == TICKET_PATH {
-        return agent.answer_ticket();
+        return agent.issue_peer_ticket();
     }
     match ticket {
-        Some(ticket) => agent.file_at_home(&ticket, request, attempt).await,
+        Some(ticket) => agent.submit_at_home(&ticket, request, attempt).await,
         None => agent.run_at_local_gate(&request, attempt).await,
     }
 }
@@ -93,8 +93,8 @@
     let mut body = Vec::new();
     loop {
         match stream.receive().await? {
-            RelayMessage::Body(piece) if body.len() + piece.len() <= limit => {
-                body.extend_from_slice(&piece);
+            RelayMessage::Body(chunk) if body.len() + chunk.len() <= limit => {
+                body.extend_from_slice(&chunk);
             }
             RelayMessage::BodyEnd => return Ok(Bytes::from(body)),
             _ => return Err(StreamError::Ended),
@@ -103,12 +103,12 @@
 }
 
 fn to_request(head: RelayRequest, body: Bytes, arrived: Instant) -> CallerRequest {
-    let attempts = head
+    let attempts_left = head
         .headers
         .iter()
         .find(|field| headers::ATTEMPTS_LEFT == field.name.as_str());
     CallerRequest {
-        allowance: headers::parse_allowance(attempts.map(|field| field.value.as_slice())),
+        allowance: headers::parse_allowance(attempts_left.map(|field| field.value.as_slice())),
         method: Method::from_bytes(head.method.as_bytes()).unwrap_or_default(),
         path: head.path,
         headers: headers::from_wire(&head.headers),
@@ -119,14 +119,14 @@
     }
 }
 
-async fn send_end(
+async fn send_outcome(
     agent: &Agent,
     stream: &mut RelayStream,
     attempt: AttemptId,
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
 ) -> Result<(), StreamError> {
-    match end {
-        AttemptOutcome::Answered(answer) => send_answer(agent, stream, attempt, answer).await,
+    match outcome {
+        AttemptOutcome::Answered(response) => send_response(agent, stream, attempt, response).await,
         AttemptOutcome::Unknown => stream.send(&RelayMessage::Lost(attempt)).await,
         AttemptOutcome::NotRun(refusal) => {
             let load = Some(agent.gate.report());
@@ -151,30 +151,30 @@
     stream.send(&message).await
 }
 
-async fn send_answer(
+async fn send_response(
     agent: &Agent,
     stream: &mut RelayStream,
     attempt: AttemptId,
-    mut answer: AttemptResponse,
+    mut response: AttemptResponse,
 ) -> Result<(), StreamError> {
     let head = RelayHead {
         attempt,
-        status: answer.status.as_u16(),
-        headers: headers::to_wire(&answer.headers),
+        status: response.status.as_u16(),
+        headers: headers::to_wire(&response.headers),
     };
     stream.send(&RelayMessage::Head(head)).await?;
     loop {
-        let piece = tokio::select! {
-            piece = answer.body.next() => piece,
-            given_up = stream.receive() => return given_up.and(Err(StreamError::Ended)),
+        let chunk = tokio::select! {
+            chunk = response.body.next() => chunk,
+            aborted = stream.receive() => return aborted.and(Err(StreamError::Ended)),
         };
-        match piece {
-            Ok(Some(piece)) => stream.send_pieces(&piece, RelayMessage::Chunk).await?,
+        match chunk {
+            Ok(Some(chunk)) => stream.send_chunks(&chunk, RelayMessage::Chunk).await?,
             Ok(None) => {
                 let load = Some(agent.gate.report());
                 return stream.send(&RelayMessage::End { attempt, load }).await;
             }
-            // Closing the stream without `End` is what tells the peer of the cut.
+            // Closing the stream without `End` tells the peer that the body is truncated.
             Err(_) => return Err(StreamError::Ended),
         }
     }
--- a/bins/agent/src/relay/stream.rs
+++ b/bins/agent/src/relay/stream.rs
@@ -16,46 +16,46 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Messages read ahead of their use. A slow reader fills it and TCP slows the sender.
-const READ_AHEAD: usize = 8;
+/// Messages buffered for the reader. When a slow reader lets the buffer fill, TCP flow control
+/// slows the sender.
+const MAX_BUFFERED_MESSAGES: usize = 8;
 
-/// Largest piece of a body in one message, in bytes.
-const PIECE_BYTES: usize = 64 * 1024;
+/// Largest part of a body in one message.
+const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Why a stream is of no more use.
+/// Why a stream is unusable.
 #[derive(Debug, Error)]
 pub(crate) enum StreamError {
-    #[error("stream: {0}")]
+    #[error("relay stream failed: {0}")]
     Io(#[from] io::Error),
-    #[error("stream: {0}")]
+    #[error("invalid frame on relay stream: {0}")]
     Frame(#[from] FrameError),
-    #[error("stream ended")]
+    #[error("relay stream closed")]
     Ended,
 }
 
-/// A stream whose messages are read by a task of their own, so that waiting for one can be
-/// given up at any moment without losing half of it.
+/// A stream whose messages are read by a background task, so that `receive` is safe to cancel:
+/// no half-read message is lost.
 #[derive(Debug)]
 pub(crate) struct RelayStream {
     writer: OwnedWriteHalf,
     messages: mpsc::Receiver<Result<RelayMessage, StreamError>>,
     reader: AbortHandle,
     keys: Arc<ArcSwap<FleetKeys>>,
-    /// When it was last used.
-    pub(crate) used: Instant,
+    pub(crate) last_used: Instant,
 }
 
 impl RelayStream {
     pub(crate) fn new(stream: TcpStream, keys: Arc<ArcSwap<FleetKeys>>) -> Self {
         let (read_half, writer) = stream.into_split();
-        let (sender, messages) = mpsc::channel(READ_AHEAD);
+        let (sender, messages) = mpsc::channel(MAX_BUFFERED_MESSAGES);
         let reader = tokio::spawn(read_messages(read_half, sender, Arc::clone(&keys)));
         Self {
             writer,
             messages,
             reader: reader.abort_handle(),
             keys,
-            used: Instant::now(),
+            last_used: Instant::now(),
         }
     }
 
@@ -65,26 +65,26 @@
         Ok(())
     }
 
-    /// Sends a body in pieces, each wrapped by `wrap`.
-    pub(crate) async fn send_pieces(
+    /// Sends a body in chunks, each wrapped by `wrap`.
+    pub(crate) async fn send_chunks(
         &mut self,
         bytes: &[u8],
         wrap: fn(Vec<u8>) -> RelayMessage,
     ) -> Result<(), StreamError> {
-        for piece in bytes.chunks(PIECE_BYTES) {
-            self.send(&wrap(piece.to_vec())).await?;
+        for chunk in bytes.chunks(CHUNK_BYTES) {
+            self.send(&wrap(chunk.to_vec())).await?;
         }
         Ok(())
     }
 
-    /// The next message. May be given up and called again.
+    /// Receives the next message. Safe to cancel and call again.
     pub(crate) async fn receive(&mut self) -> Result<RelayMessage, StreamError> {
         let message = self.messages.recv().await;
         message.unwrap_or(Err(StreamError::Ended))
     }
 
-    /// Whether nothing was heard on it, not even its end, since its last use.
-    pub(crate) fn is_quiet(&mut self) -> bool {
+    /// Whether nothing arrived since the last use, neither a message nor the end of the stream.
+    pub(crate) fn is_idle(&mut self) -> bool {
         matches!(
             self.messages.try_recv(),
             Err(mpsc::error::TryRecvError::Empty)
--- a/bins/agent/src/reply.rs
+++ b/bins/agent/src/reply.rs
@@ -5,7 +5,7 @@
 use http::{HeaderMap, Response, StatusCode, header};
 use lovagelatch_domain::{RefusalReason, RequestOutcome};
 
-use crate::backend::text_value;
+use crate::backend::to_header_value;
 use crate::exchange::{AttemptResponse, Refusal};
 use crate::headers;
 
@@ -24,10 +24,10 @@
 
 impl ReplyContext {
     fn add_to(&self, fields: &mut HeaderMap, outcome: &RequestOutcome) {
-        fields.insert(headers::OUTCOME, text_value(outcome.header_value()));
-        fields.insert(headers::AGENT, text_value(&self.agent));
+        fields.insert(headers::OUTCOME, to_header_value(outcome.header_value()));
+        fields.insert(headers::AGENT, to_header_value(&self.agent));
         if let Some(ticket) = &self.ticket {
-            fields.insert(headers::TICKET, text_value(ticket));
+            fields.insert(headers::TICKET, to_header_value(ticket));
         }
     }
 
@@ -56,7 +56,7 @@
         let retry_after = refusal.retry_after;
         let fields = response.headers_mut();
         add_retry_after(fields, retry_after);
-        fields.insert(header::CONTENT_LENGTH, text_value("0"));
+        fields.insert(header::CONTENT_LENGTH, to_header_value("0"));
         let outcome = RequestOutcome::NotRun {
             reason: refusal.reason,
             retry_after,
@@ -79,7 +79,7 @@
         if ticketed {
             add_retry_after(fields, UNKNOWN_RETRY_AFTER);
         }
-        fields.insert(header::CONTENT_LENGTH, text_value("0"));
+        fields.insert(header::CONTENT_LENGTH, to_header_value("0"));
         self.add_to(fields, &RequestOutcome::Unknown);
         response
     }
@@ -87,9 +87,9 @@
 
 fn add_retry_after(fields: &mut HeaderMap, retry_after: Duration) {
     let seconds = ceil_seconds(retry_after).to_string();
-    fields.insert(header::RETRY_AFTER, text_value(&seconds));
+    fields.insert(header::RETRY_AFTER, to_header_value(&seconds));
     let millis = retry_after.as_millis().to_string();
-    fields.insert(headers::RETRY_AFTER_MS, text_value(&millis));
+    fields.insert(headers::RETRY_AFTER_MS, to_header_value(&millis));
 }
 
 /// Rounds up, so that callers do not retry too early.
--- a/bins/agent/src/request.rs
+++ b/bins/agent/src/request.rs
@@ -15,13 +15,13 @@
 use tokio::time::Instant;
 
 use crate::agent::Agent;
-use crate::backend::text_value;
+use crate::backend::to_header_value;
 use crate::drain::wait_true;
 use crate::exchange::{AttemptOutcome, AttemptResponse, CallerRequest, Refusal, new_attempt};
 use crate::feed::EventBoundary;
 use crate::headers;
 use crate::metrics::{OpenGuard, RouteKind, reason_label};
-use crate::once::{TICKET_PATH, ticket_answer};
+use crate::once::{TICKET_PATH, ticket_response};
 use crate::path::normalize_path;
 use crate::reply::ReplyContext;
 
@@ -91,7 +91,9 @@
     }
     let key = request.headers.get(headers::IDEMPOTENCY_KEY);
     let key = key.and_then(|key| key.to_str().ok()).map(str::to_owned);
-    agent.file(key.as_deref(), request.clone(), attempt).await
+    agent
+        .submit_once(key.as_deref(), request.clone(), attempt)
+        .await
 }
 
 fn requested_deadline(agent: &Agent, head: &Request<()>) -> Duration {
@@ -142,7 +144,7 @@
     // The HTTP client sets the length when it sends the request to the backend server.
     fields.remove(header::CONTENT_LENGTH);
     if let Some(authority) = parts.uri.authority() {
-        fields.insert(header::HOST, text_value(authority.as_str()));
+        fields.insert(header::HOST, to_header_value(authority.as_str()));
     }
     CallerRequest {
         method: parts.method,
@@ -194,7 +196,7 @@
     let outcome = match agent.fetch_ticket(request).await {
         Ok(ticket) => {
             context.ticket = Some(ticket.clone());
-            AttemptOutcome::Answered(ticket_answer(&ticket))
+            AttemptOutcome::Answered(ticket_response(&ticket))
         }
         Err(refusal) => AttemptOutcome::NotRun(refusal),
     };
