--- a/bins/agent/tests/all/dependency.rs
+++ b/bins/agent/tests/all/dependency.rs
@@ -1,4 +1,4 @@
-//! Calls of a backend server to the services that its own depends on.
+//! Calls of a backend server to its dependencies.
 
 use bytes::Bytes;
 use http::{Request, Response};
@@ -9,7 +9,7 @@
 
 use crate::rig::{RigOptions, TestRig, eventually};
 
-/// Calls; an error when the connection broke before the head of the answer.
+/// Calls a dependency; an error if the connection broke before the head of the response.
 async fn call(
     rig: &TestRig,
     method: &str,
@@ -34,7 +34,7 @@
     sender.send_request(request).await
 }
 
-/// One call and what must come of it. The second agent serves `certificates`.
+/// A call and its expected outcome. The second agent serves `certificates`.
 struct CallCase {
     name: &'static str,
     method: &'static str,
@@ -54,7 +54,7 @@
         started: "",
     },
     CallCase {
-        name: "a dependency answers",
+        name: "a dependency responds",
         method: "GET",
         path: "/certificates/certificates/17?bytes=9",
         status: 200,
@@ -62,7 +62,7 @@
         started: "/certificates/17?bytes=9",
     },
     CallCase {
-        name: "a service that is no dependency",
+        name: "a service that is not a dependency",
         method: "GET",
         path: "/claims/status/1",
         status: 503,
@@ -70,7 +70,7 @@
         started: "",
     },
     CallCase {
-        name: "the dependency refuses before the start",
+        name: "the dependency refuses before starting the request",
         method: "GET",
         path: "/certificates/shed",
         status: 503,
@@ -78,7 +78,7 @@
         started: "",
     },
     CallCase {
-        name: "an answer is crossed",
+        name: "a response is crossed",
         method: "GET",
         path: "/certificates/crossed",
         status: 502,
@@ -88,20 +88,20 @@
 ];
 
 #[tokio::test]
-async fn calls_reach_dependencies_only_and_tell_their_outcome() {
+async fn calls_reach_only_dependencies_and_report_their_outcome() {
     let options = RigOptions {
         dependency: true,
         ..RigOptions::default()
     };
     let rig = TestRig::with_agents(2, options).await;
-    rig.acquainted_with_config().await;
+    rig.wait_for_config().await;
     for case in &CASES {
-        let answer = call(&rig, case.method, case.path, &[]).await;
-        let answer = answer.expect("an answer");
-        assert_eq!(answer.status(), case.status, "{}", case.name);
-        let outcome = answer.headers()["lovagelatch-outcome"].clone();
+        let response = call(&rig, case.method, case.path, &[]).await;
+        let response = response.expect("a response");
+        assert_eq!(response.status(), case.status, "{}", case.name);
+        let outcome = response.headers()["lovagelatch-outcome"].clone();
         assert_eq!(outcome, case.outcome, "{}", case.name);
-        let body = answer
+        let body = response
             .into_body()
             .collect()
             .await
@@ -121,25 +121,25 @@
     }
 }
 
-// Symptom: half a certificate is stored as a whole one. Sequence: the dependency breaks off in
-// its answer. Cause: the gateway ends its own answer cleanly.
+// Guards against a truncated response that looks complete: the dependency fails during its
+// response, and the gateway ends its own response cleanly.
 #[tokio::test]
-async fn a_cut_answer_of_a_dependency_is_cut_for_the_backend_server() {
+async fn a_truncated_response_of_a_dependency_stays_truncated() {
     let options = RigOptions {
         dependency: true,
         ..RigOptions::default()
     };
     let rig = TestRig::with_agents(2, options).await;
-    rig.acquainted_with_config().await;
-    let whole = match call(&rig, "GET", "/certificates/short", &[]).await {
-        Ok(answer) => answer.into_body().collect().await.is_ok(),
+    rig.wait_for_config().await;
+    let complete = match call(&rig, "GET", "/certificates/short", &[]).await {
+        Ok(response) => response.into_body().collect().await.is_ok(),
         Err(_) => false,
     };
-    assert!(!whole, "a cut answer looks whole");
+    assert!(!complete, "a truncated response looks complete");
 }
 
-// Symptom: a once-only call of a backend server runs twice. Sequence: it is tried again with its
-// ticket. Cause: the gateway takes any target instead of the ticket's home.
+// Guards against a once-only call that runs twice: the backend server retries it with the same
+// ticket, and the gateway picks any target instead of the ticket's home.
 #[tokio::test]
 async fn a_once_only_call_runs_once_for_its_ticket() {
     let options = RigOptions {
@@ -147,7 +147,7 @@
         ..RigOptions::default()
     };
     let rig = TestRig::with_agents(2, options).await;
-    rig.acquainted_with_config().await;
+    rig.wait_for_config().await;
     let path = "/certificates/.well-known/lovagelatch/ticket";
     let issued = call(&rig, "GET", path, &[]).await.expect("a ticket");
     let issued = issued
@@ -160,8 +160,8 @@
     let key = issued["ticket"].as_str().expect("a ticket");
     for _ in 0..2 {
         let fields = [("idempotency-key", key)];
-        let answer = call(&rig, "POST", "/certificates/orders", &fields).await;
-        assert_eq!(answer.expect("an answer").status(), 200);
+        let response = call(&rig, "POST", "/certificates/orders", &fields).await;
+        assert_eq!(response.expect("a response").status(), 200);
     }
     assert_eq!(rig.pairs[1].backend.started("/orders"), 1);
 }
--- a/bins/agent/tests/all/direct.rs
+++ b/bins/agent/tests/all/direct.rs
@@ -1,4 +1,4 @@
-//! Without a gateway: the agent answers from a socket bound to the service address.
+//! Without a gateway: the agent responds from a socket that is bound to the service address.
 
 use std::fmt;
 use std::io::{self, IoSliceMut};
@@ -15,21 +15,21 @@
 
 use crate::rig::{RigOptions, TestCaller, TestRig, local, service_name, to_v4};
 
-/// A caller's socket whose datagrams a balancer forwards; answers come straight to it.
-struct FrontedSocket {
+/// A caller's socket whose datagrams go through a balancer; responses arrive directly.
+struct ForwardedSocket {
     inner: Arc<dyn AsyncUdpSocket>,
     frames: std::net::UdpSocket,
     agent: SocketAddrV4,
     keys: FleetKeys,
 }
 
-impl fmt::Debug for FrontedSocket {
+impl fmt::Debug for ForwardedSocket {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_struct("FrontedSocket").finish()
+        formatter.debug_struct("ForwardedSocket").finish()
     }
 }
 
-impl AsyncUdpSocket for FrontedSocket {
+impl AsyncUdpSocket for ForwardedSocket {
     fn create_io_poller(self: Arc<Self>) -> Pin<Box<dyn UdpPoller>> {
         Arc::clone(&self.inner).create_io_poller()
     }
@@ -61,10 +61,10 @@
     }
 }
 
-fn fronted_endpoint(rig: &TestRig) -> Endpoint {
+fn forwarded_endpoint(rig: &TestRig) -> Endpoint {
     let bind = || std::net::UdpSocket::bind(local(0)).expect("a socket");
     let inner = TokioRuntime.wrap_udp_socket(bind()).expect("a socket");
-    let socket = FrontedSocket {
+    let socket = ForwardedSocket {
         inner,
         frames: bind(),
         agent: rig.pairs[0].address.0,
@@ -76,19 +76,19 @@
         .expect("an endpoint")
 }
 
-// Symptom: callers hear nothing, or drop what they hear. Sequence: there is no gateway to set an
-// answer's source address. Cause: the agent answers from an address of its own.
+// Guards against callers that receive no response, or drop it: without a gateway to set the source
+// address, the agent responds from its own address.
 #[tokio::test]
-async fn answers_come_from_the_service_address() {
+async fn responses_come_from_the_service_address() {
     let options = RigOptions {
         direct: true,
         ..RigOptions::default()
     };
     let rig = TestRig::with_agents(1, options).await;
-    let endpoint = fronted_endpoint(&rig);
+    let endpoint = forwarded_endpoint(&rig);
     let caller = TestCaller::connect_over(endpoint, rig.direct_address(), rig.certificate()).await;
     let reply = caller.get("/big").await;
     assert_eq!(reply.outcome(), "done");
     assert_eq!(reply.body.map(|body| body.len()), Some(200_000));
-    assert_eq!(rig.gateway.answers(), 0);
+    assert_eq!(rig.gateway.responses(), 0);
 }
--- a/bins/agent/tests/all/leaving.rs
+++ b/bins/agent/tests/all/leaving.rs
@@ -1,4 +1,4 @@
-//! Planned stops and renewals.
+//! Planned stops, drains and certificate renewals.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
     direct: false,
 };
 
-// Symptom: a restart cuts a download. Sequence: the agent is told to stop while an answer is on
-// its way. Cause: it closed its flows before their requests ended.
+// Guards against a restart that truncates a download: the agent is told to stop while a response
+// is in flight and closes its flows before their requests ended.
 #[tokio::test]
 async fn a_stop_waits_for_requests_in_flight() {
     let rig = TestRig::with_agents(1, DRAIN).await;
@@ -28,40 +28,39 @@
     assert_eq!(reply.body.as_deref(), Some(&b"too late"[..]));
 }
 
-// Symptom: a leaving backend server still gets work. Sequence: it says that it drains while
-// flows to its agent are open, and requests on them are under way. Cause: only new flows were
-// kept away.
+// Guards against new work for a draining backend server: it reports that it drains while flows to
+// its agent are open and requests on them are in progress, and only new flows are moved away.
 #[tokio::test]
-async fn a_draining_backend_server_gets_no_new_work_on_old_flows() {
+async fn a_draining_backend_server_gets_no_new_work_on_open_flows() {
     let rig = TestRig::new().await;
     let caller = rig.caller().await;
     assert_eq!(caller.get("/status/1").await.outcome(), "done");
-    let mut begun = caller
+    let mut in_flight = caller
         .open("POST", "/status/2", &[])
         .await
         .expect("a stream");
     rig.pairs[0].backend.record.lock().health = Some("draining");
-    let mut told = false;
+    let mut goaway = false;
     for _ in 0..30 {
         let tried = caller.send("GET", "/status/3", &[], b"").await;
-        told = tried.is_none();
-        if told {
+        goaway = tried.is_none();
+        if goaway {
             break;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     assert!(
-        told,
-        "no GOAWAY three seconds after the backend server said so"
+        goaway,
+        "no GOAWAY three seconds after the backend server reported that it drains"
     );
-    begun.finish().await.expect("sent");
-    let head = begun.recv_response().await.expect("an answer");
+    in_flight.finish().await.expect("sent");
+    let head = in_flight.recv_response().await.expect("a response");
     assert_eq!(head.headers()["lovagelatch-outcome"], "not-run");
     assert_eq!(rig.pairs[0].backend.started("/status/2"), 0);
 }
 
-// Symptom: a planned stop cuts a feed in the middle of an event. Sequence: the drain limit comes
-// while the feed is open. Cause: the flow is closed under it.
+// Guards against a planned stop that truncates an event of a feed: the drain limit passes while
+// the feed is open, and its flow is closed.
 #[tokio::test]
 async fn an_open_feed_ends_between_events_at_the_drain_limit() {
     let rig = TestRig::with_agents(1, DRAIN).await;
@@ -74,7 +73,7 @@
         rig.pairs[0].agent.stop().await;
     };
     let (reply, ()) = tokio::join!(reading, stopping);
-    let body = reply.expect("an answer").body.expect("a clean end");
+    let body = reply.expect("a response").body.expect("a clean end");
     assert!(body.ends_with(b"\n\n"));
     assert!(start.elapsed() < Duration::from_secs(7));
 }
@@ -83,7 +82,7 @@
 async fn a_renewed_certificate_is_used_without_a_restart() {
     let mut rig = TestRig::new().await;
     let old = rig.caller().await;
-    let renewed = write_certificate(&rig.folder);
+    let renewed = write_certificate(&rig.directory);
     rig.trust(renewed);
     let mut opened = false;
     for _ in 0..50 {
--- a/bins/agent/tests/all/main.rs
+++ b/bins/agent/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the agent over real sockets: callers speak HTTP/3 through forwarded datagrams, a
-//! small backend server misbehaves on demand, a gateway stands between.
+//! Tests of the agent over real sockets. Callers speak HTTP/3 through forwarded datagrams, a
+//! gateway carries the traffic, and a small backend server misbehaves on demand.
 
 mod dependency;
 mod direct;
--- a/bins/agent/tests/all/metrics.rs
+++ b/bins/agent/tests/all/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators read: the page of metrics and log lines against the process and the code.
+//! Checks the metrics page that operators read against the process and the source code.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -7,8 +7,8 @@
 
 use crate::rig::TestRig;
 
-/// The parts whose metrics an agent does not serve.
-const OTHER_PARTS: [&str; 2] = ["lovagelatch_balancer_", "lovagelatch_control_"];
+/// Prefixes of metrics that an agent does not serve.
+const OTHER_PREFIXES: [&str; 2] = ["lovagelatch_balancer_", "lovagelatch_control_"];
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -19,7 +19,7 @@
     std::fs::read_to_string(path).expect("the page")
 }
 
-/// The words in backticks that the page's table rows start with, from one heading to the next.
+/// Returns the names in backticks in one column of the page's tables, below one heading.
 fn rows(heading: &str, column: usize) -> BTreeSet<String> {
     let page = page();
     let part = page.split("\n## ").find(|part| part.starts_with(heading));
@@ -32,14 +32,14 @@
     words.collect()
 }
 
-fn served(text: &str) -> BTreeSet<String> {
+fn served_metrics(text: &str) -> BTreeSet<String> {
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let names = types.filter_map(|line| line.split(' ').next());
     names.map(str::to_owned).collect()
 }
 
-// Symptom: an alarm never fires. Sequence: an instrument is renamed, the page and the alarms
-// that were made from it keep the old name. Cause: nothing compares them.
+// Guards against an alarm that never fires: an instrument is renamed, and the page and the alarms
+// based on it keep the old name.
 #[tokio::test]
 async fn the_page_lists_the_metrics_that_an_agent_serves() {
     let rig = TestRig::new().await;
@@ -48,15 +48,15 @@
     let text = rig.pairs[0].agent.metrics_text().expect("metrics");
     let listed: BTreeSet<String> = rows("Metrics", 2)
         .into_iter()
-        .filter(|name| !OTHER_PARTS.iter().any(|part| name.starts_with(part)))
+        .filter(|name| !OTHER_PREFIXES.iter().any(|part| name.starts_with(part)))
         .collect();
-    assert_eq!(listed, served(&text));
+    assert_eq!(listed, served_metrics(&text));
     assert!(text.contains("lovagelatch_agent_flows_open{"), "{text}");
 }
 
-/// All instrument names in the sources of the processes and their libraries.
-fn names_in_sources(folder: &Path, names: &mut BTreeSet<String>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
+/// Collects all instrument names in the sources of the processes and their libraries.
+fn names_in_sources(directory: &Path, names: &mut BTreeSet<String>) {
+    for entry in std::fs::read_dir(directory).expect("a directory") {
         let path = entry.expect("an entry").path();
         let is_test = path.ends_with("tests") || path.ends_with("benches");
         if path.is_dir() && !is_test {
@@ -78,7 +78,7 @@
     let mut names = BTreeSet::new();
     names_in_sources(&repository().join("bins"), &mut names);
     names_in_sources(&repository().join("crates"), &mut names);
-    // The gauges' names are put together from these.
+    // The names of the gauges are built from these parts.
     for (prefix, parts) in [
         ("gate", ["slots", "in_use", "queued"].as_slice()),
         ("ledger", ["entries", "size"].as_slice()),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_page_lists_the_decision_words_of_the_log() {
+fn the_page_lists_the_decision_kinds_of_the_log() {
     let words = DecisionKind::ALL.map(|kind| kind.as_str().to_owned());
     assert_eq!(rows("Log lines", 1), BTreeSet::from(words));
 }
--- a/bins/agent/tests/all/outcomes.rs
+++ b/bins/agent/tests/all/outcomes.rs
@@ -1,23 +1,23 @@
-//! What callers are told when the backend server or a deadline fails them.
+//! The outcomes that callers receive when the backend server fails or a deadline passes.
 
 use std::time::{Duration, Instant};
 
 use crate::rig::{RigOptions, TestRig, eventually};
 
-/// One request and what must come of it.
+/// A request and its expected outcome.
 struct OutcomeCase {
     name: &'static str,
     path: &'static str,
     deadline_ms: &'static str,
     status: u16,
     outcome: &'static str,
-    /// Requests that the backend server started.
+    /// How many requests the backend server starts.
     started: usize,
 }
 
 const CASES: [OutcomeCase; 7] = [
     OutcomeCase {
-        name: "an answer in time",
+        name: "a response in time",
         path: "/late",
         deadline_ms: "2000",
         status: 200,
@@ -25,7 +25,7 @@
         started: 1,
     },
     OutcomeCase {
-        name: "started, then the deadline passes: the cancellation comes too late",
+        name: "started, then the deadline passes: the cancellation arrives too late",
         path: "/late",
         deadline_ms: "300",
         status: 504,
@@ -40,11 +40,10 @@
         outcome: "not-run",
         started: 0,
     },
-    // Symptom: a caller is told "not run" of a filing that ran. Sequence: the server starts it
-    // and dies, its successor at the same address is asked to cancel. Cause: the successor,
-    // which never heard of it, confirms that it did not start.
+    // Guards against "not run" for a filing that ran: the server starts it and fails, and its
+    // successor at the same address confirms the cancellation of an attempt it does not know.
     OutcomeCase {
-        name: "the server dies after the start, its successor confirms a cancellation",
+        name: "the server fails after the start, its successor confirms a cancellation",
         path: "/restarted",
         deadline_ms: "2000",
         status: 502,
@@ -52,7 +51,7 @@
         started: 1,
     },
     OutcomeCase {
-        name: "the server refuses before the start",
+        name: "the server refuses before starting the request",
         path: "/shed",
         deadline_ms: "2000",
         status: 503,
@@ -60,7 +59,7 @@
         started: 0,
     },
     OutcomeCase {
-        name: "the answer names another attempt",
+        name: "the response names another attempt",
         path: "/crossed",
         deadline_ms: "2000",
         status: 502,
@@ -68,7 +67,7 @@
         started: 1,
     },
     OutcomeCase {
-        name: "the answer names no attempt",
+        name: "the response names no attempt",
         path: "/unmarked",
         deadline_ms: "2000",
         status: 502,
@@ -78,13 +77,13 @@
 ];
 
 #[tokio::test]
-async fn every_end_is_told_as_it_is() {
+async fn callers_receive_the_actual_outcome() {
     for case in &CASES {
         let rig = TestRig::new().await;
         let caller = rig.caller().await;
         let fields = [("lovagelatch-deadline-ms", case.deadline_ms)];
         let reply = caller.send("GET", case.path, &fields, b"").await;
-        let reply = reply.expect("an answer");
+        let reply = reply.expect("a response");
         assert_eq!(reply.outcome(), case.outcome, "{}", case.name);
         assert_eq!(reply.status, case.status, "{}", case.name);
         let started = rig.pairs[0].backend.started(case.path);
@@ -97,16 +96,15 @@
     }
 }
 
-// Symptom: one citizen gets the answer to another's request. Sequence: a request's deadline
-// passes, its late answer arrives on the connection after the next request was written there.
-// Cause: the connection was kept for reuse.
+// Guards against a caller receiving the response to another request: a request times out, the
+// connection is reused, and the late response arrives after the next request was written to it.
 #[tokio::test]
-async fn a_late_answer_never_reaches_the_next_request() {
+async fn a_late_response_never_reaches_the_next_request() {
     let rig = TestRig::new().await;
     let caller = rig.caller().await;
     let fields = [("lovagelatch-deadline-ms", "300")];
     let late = caller.send("GET", "/late", &fields, b"").await;
-    assert_eq!(late.expect("an answer").outcome(), "unknown");
+    assert_eq!(late.expect("a response").outcome(), "unknown");
     for number in 0..10 {
         let path = format!("/status/{number}");
         let reply = caller.get(&path).await;
@@ -115,23 +113,22 @@
     }
 }
 
-// Symptom: half a certificate is taken for a whole one. Sequence: the backend server closes the
-// connection before the announced length. Cause: the end of the connection was passed on as the
-// end of the answer.
+// Guards against a truncated response that looks complete: the backend server closes the
+// connection before the announced length, and the agent ends the stream cleanly.
 #[tokio::test]
 async fn a_short_body_ends_in_a_reset() {
     let rig = TestRig::new().await;
     let caller = rig.caller().await;
     let reply = caller.send("GET", "/short", &[], b"").await;
-    // A reset may overtake the head of the answer; what must not be is a clean end.
+    // A reset may overtake the head of the response, but the stream must not end cleanly.
     assert!(reply.is_none_or(|reply| reply.body.is_none()));
     assert_eq!(caller.get("/status/1").await.outcome(), "done");
 }
 
-// Symptom: a download ends early and looks whole, or never ends. Sequence: the backend server
-// dies in the middle of an answer. Cause: the agent waits, or ends the stream cleanly.
+// Guards against a download that is cut short without an error, or never ends: the backend server
+// fails during a response, and the agent waits or ends the stream cleanly.
 #[tokio::test]
-async fn a_backend_server_killed_in_an_answer_resets_it_at_once() {
+async fn a_backend_server_killed_during_a_response_resets_it_at_once() {
     let rig = TestRig::new().await;
     let caller = rig.caller().await;
     let backend = &rig.pairs[0].backend;
@@ -149,11 +146,10 @@
     assert_eq!(after.outcome(), "not-run");
 }
 
-// Symptom: after some callers gave up, the service serves ever fewer requests at a time.
-// Sequence: callers close their flows while their requests run or wait. Cause: their slots or
-// places in the queue were never given back, or the backend server went on running them.
+// Guards against leaked slots: callers close their flows while their requests run or wait, and
+// the slots or queue places are not released, or the backend server keeps running the requests.
 #[tokio::test]
-async fn callers_that_leave_give_their_slots_back() {
+async fn callers_that_leave_release_their_slots() {
     let options = RigOptions {
         slots: 1,
         ..RigOptions::default()
@@ -167,19 +163,18 @@
         gone.connection.close(0_u32.into(), b"bye");
     }
     let record = &rig.pairs[0].backend.record;
-    eventually("the running ones are cancelled", || {
+    eventually("the running requests are cancelled", || {
         record.lock().cancelled.len() >= 3
     })
     .await;
     let caller = rig.caller().await;
     let fields = [("lovagelatch-deadline-ms", "4000")];
     let reply = caller.send("GET", "/status/1", &fields, b"").await;
-    assert_eq!(reply.expect("an answer").outcome(), "done");
+    assert_eq!(reply.expect("a response").outcome(), "done");
 }
 
-// Symptom: an agency's callers that give up early make everybody else wait. Sequence: several
-// callers in a row leave before their answers, the server is well. Cause: their answers count as
-// lost by the server, and the gate closes its slots.
+// Guards against callers that give up early blocking all others: several callers in a row leave
+// before their responses arrive, these count as lost by a healthy server, and the gate closes.
 #[tokio::test]
 async fn callers_that_leave_do_not_close_the_gate() {
     let rig = TestRig::new().await;
@@ -196,10 +191,10 @@
     assert!(start.elapsed() < Duration::from_millis(300));
 }
 
-// Symptom: as above, with callers that leave in the middle of a long answer. Cause: the answer is
-// read on for nobody, and its slot stays in use.
+// Guards against a leaked slot when a caller leaves during a long response: the agent keeps
+// reading the response, and its slot stays in use.
 #[tokio::test]
-async fn a_caller_that_leaves_in_an_answer_gives_its_slot_back() {
+async fn a_caller_that_leaves_during_a_response_releases_its_slot() {
     let options = RigOptions {
         slots: 1,
         ..RigOptions::default()
@@ -215,9 +210,8 @@
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
-// Symptom: nobody is served while some callers read slowly. Sequence: as many callers as there
-// are slots ask for a long answer and read nothing of it. Cause: the slots are held until the
-// answers are read.
+// Guards against slow readers blocking the service: as many callers as there are slots request a
+// long response and read nothing of it, and the slots stay in use until the responses are read.
 #[tokio::test]
 async fn callers_that_do_not_read_hold_no_slots() {
     let rig = TestRig::new().await;
@@ -235,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_cannot_be_read_is_refused_not_run() {
+async fn an_invalid_request_is_refused_and_not_run() {
     let options = RigOptions {
         limits: "body_bytes = 1000",
         ..RigOptions::default()
@@ -243,15 +237,15 @@
     let rig = TestRig::with_agents(1, options).await;
     let caller = rig.caller().await;
     let long = caller.send("POST", "/upload", &[], &[0; 1_001]).await;
-    assert_eq!(long.expect("an answer").status, 413);
+    assert_eq!(long.expect("a response").status, 413);
     let fields = [("content-length", "9")];
     let wrong = caller.send("POST", "/upload", &fields, b"four").await;
-    assert_eq!(wrong.expect("an answer").status, 400);
+    assert_eq!(wrong.expect("a response").status, 400);
     assert_eq!(rig.pairs[0].backend.started("/upload"), 0);
 }
 
-// Symptom: a slot-limited server is overrun, or requests vanish. Sequence: more requests than
-// slots arrive at once. Cause: the gate miscounts.
+// Guards against a gate that miscounts when more requests than slots arrive at once: the server is
+// overloaded, or requests are lost.
 #[tokio::test]
 async fn more_requests_than_slots_wait_and_all_are_served() {
     let rig = TestRig::new().await;
--- a/bins/agent/tests/all/packets.rs
+++ b/bins/agent/tests/all/packets.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are not for this agent.
+//! Datagrams that this agent must forward, reset or refuse.
 
 use std::time::{Duration, Instant};
 
@@ -8,25 +8,23 @@
 
 use crate::rig::{RigOptions, TestCaller, TestRig, eventually, local, to_v4};
 
-// Symptom: an outage report reaches the map service. Sequence: an address passes from one
-// service to another, a balancer with the older view forwards by it. Cause: the agent trusts
-// the balancer.
+// Guards against a request reaching the wrong service: an address is reassigned to another service,
+// a balancer with a stale view still forwards by it, and the agent does not check the service.
 #[tokio::test]
-async fn a_frame_of_another_service_is_refused_unanswered() {
+async fn a_frame_of_another_service_is_refused_silently() {
     let rig = TestRig::new().await;
-    rig.acquainted_with_config().await;
+    rig.wait_for_config().await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let answers = rig.gateway.answers();
-    rig.gateway.pretend_service(ServiceId(77));
+    let responses = rig.gateway.responses();
+    rig.gateway.spoof_service(ServiceId(77));
     let opening = TestCaller::try_connect(rig.gateway.service_address, rig.certificate());
     let opened = tokio::time::timeout(Duration::from_millis(500), opening).await;
     assert!(opened.is_err(), "a flow of another service opened");
-    assert_eq!(rig.gateway.answers(), answers);
+    assert_eq!(rig.gateway.responses(), responses);
 }
 
-// Symptom: a feed stays silent for half a minute after its agent died. Sequence: an agent dies,
-// a balancer gives its flows' packets to another agent of the service. Cause: that agent cannot
-// end flows it does not know.
+// Guards against a feed that hangs for half a minute after its agent failed: a balancer forwards
+// the flow's packets to another agent of the service, which cannot reset a flow it does not know.
 #[tokio::test]
 async fn a_dead_agents_flow_is_reset_by_its_peer() {
     let mut rig = TestRig::with_agents(2, RigOptions::default()).await;
@@ -36,7 +34,10 @@
     rig.kill(0);
     let start = Instant::now();
     let reply = caller.send("GET", "/status/2", &[], b"").await;
-    assert!(reply.is_none(), "a request of a dead flow was answered");
+    assert!(
+        reply.is_none(),
+        "a request on a dead agent's flow was answered"
+    );
     let reason = caller.connection.closed().await;
     assert_eq!(reason, quinn::ConnectionError::Reset);
     assert!(start.elapsed() < Duration::from_secs(5));
@@ -58,13 +59,12 @@
     assert_eq!(caller.get("/status/1").await.outcome(), "done");
 }
 
-// Symptom: a leaving agent gets new flows for as long as some balancer has not heard of it, and
-// each ends with the agent. Sequence: an agent leaves, a balancer with an older view goes on
-// sending it new flows. Cause: the agent takes what it is sent.
+// Guards against a leaving agent accepting new flows, which end with it: a balancer with a stale
+// view still sends it new flows, and the agent accepts them.
 #[tokio::test]
-async fn a_leaving_agent_hands_new_flows_on_whole() {
+async fn a_leaving_agent_forwards_new_flows_to_a_peer() {
     let rig = TestRig::with_agents(2, RigOptions::default()).await;
-    rig.acquainted().await;
+    rig.wait_for_peers().await;
     rig.pairs[0].backend.record.lock().health = Some("draining");
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     for _ in 0..5 {
@@ -78,22 +78,21 @@
     assert_eq!(rig.pairs[0].backend.started("/status/1"), 0);
 }
 
-// Symptom: new flows pile up at an agent whose backend server is full while its peer is idle.
-// Sequence: all its slots are in use, balancers go on sending it new flows by their hash. Cause:
-// the agent takes every flow that is sent to it.
+// Guards against new flows accumulating at an agent whose backend server is full while its peer is
+// idle: balancers place new flows by their hash, and the agent accepts each of them.
 #[tokio::test]
-async fn an_agent_over_its_share_hands_new_flows_on() {
+async fn an_agent_over_its_share_forwards_new_flows() {
     let options = RigOptions {
         slots: 1,
         ..RigOptions::default()
     };
     let rig = TestRig::with_agents(2, options).await;
-    rig.acquainted().await;
+    rig.wait_for_peers().await;
     let caller = rig.caller().await;
     for _ in 0..20 {
         assert_eq!(caller.get("/status/1").await.outcome(), "done");
     }
-    // Cut off from its peer's gate, the agent has only its own; heartbeats still pass.
+    // Without streams to its peer's gate, the agent has only its own; heartbeats still arrive.
     rig.gateway.cut_streams(true);
     let mut held = Vec::new();
     for _ in 0..4 {
@@ -107,25 +106,25 @@
     let reply = newer.get("/status/2").await;
     assert_eq!(reply.header("lovagelatch-agent"), "agent-1");
     let metrics = rig.pairs[0].agent.metrics_text().expect("metrics");
-    let handed = metrics.lines().find(|line| {
+    let flow_counter = metrics.lines().find(|line| {
         line.starts_with("lovagelatch_agent_flows_total") && line.contains("handed_on")
     });
     assert!(
-        handed.is_some_and(|line| !line.ends_with(" 0")),
-        "{handed:?}"
+        flow_counter.is_some_and(|line| !line.ends_with(" 0")),
+        "{flow_counter:?}"
     );
 }
 
-/// A first datagram of a handshake with a chosen connection ID.
-fn initial(id: [u8; 8]) -> Vec<u8> {
+/// The first datagram of a handshake with a chosen connection ID.
+fn initial_datagram(id: [u8; 8]) -> Vec<u8> {
     let mut datagram = vec![0xc3, 0, 0, 0, 1, 8];
     datagram.extend_from_slice(&id);
     datagram.resize(1_200, 0);
     datagram
 }
 
-/// Whether a hand-on reaches the peer within a moment.
-async fn handed_on(peer: &UdpSocket, rig: &TestRig) -> bool {
+/// Whether a datagram that the agent forwards reaches the peer within 150 ms.
+async fn forwarded_to_peer(peer: &UdpSocket, rig: &TestRig) -> bool {
     let mut buffer = vec![0; 2_000];
     let receiving = async {
         loop {
@@ -140,27 +139,35 @@
     received.is_ok()
 }
 
-// Symptom: some handshakes never finish while load or conditions change. Sequence: the first
-// datagram of a handshake is kept, the next one is handed on, or the other way round. Cause: the
-// decision is taken anew for each datagram.
+// Guards against handshakes that never complete while load or conditions change: each datagram is
+// routed anew, so one is accepted here and the next one forwarded, or the reverse.
 #[tokio::test]
-async fn a_handshake_goes_where_its_first_datagram_went() {
+async fn a_handshake_follows_its_first_datagram() {
     let rig = TestRig::new().await;
-    rig.acquainted_with_config().await;
+    rig.wait_for_config().await;
     let peer = UdpSocket::bind(local(0)).await.expect("a socket");
     rig.list_peer(AgentAddress(to_v4(peer.local_addr().expect("an address"))));
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    let (kept, moved) = (initial([1; 8]), initial([2; 8]));
+    let (kept, moved) = (initial_datagram([1; 8]), initial_datagram([2; 8]));
     rig.gateway.send_as_caller(&kept).await;
-    assert!(!handed_on(&peer, &rig).await);
+    assert!(!forwarded_to_peer(&peer, &rig).await);
     rig.pairs[0].backend.record.lock().health = Some("draining");
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     rig.gateway.send_as_caller(&kept).await;
-    assert!(!handed_on(&peer, &rig).await, "the second half moved");
+    assert!(
+        !forwarded_to_peer(&peer, &rig).await,
+        "the second datagram was forwarded"
+    );
     rig.gateway.send_as_caller(&moved).await;
-    assert!(handed_on(&peer, &rig).await, "a new flow was taken");
+    assert!(
+        forwarded_to_peer(&peer, &rig).await,
+        "a new flow was accepted"
+    );
     rig.pairs[0].backend.record.lock().health = Some("ready");
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     rig.gateway.send_as_caller(&moved).await;
-    assert!(handed_on(&peer, &rig).await, "the second half stayed");
+    assert!(
+        forwarded_to_peer(&peer, &rig).await,
+        "the second datagram was accepted"
+    );
 }
--- a/bins/agent/tests/all/path.rs
+++ b/bins/agent/tests/all/path.rs
@@ -1,9 +1,9 @@
-//! The whole path: a caller's request to the backend server and back.
+//! The whole path of a request: from a caller to the backend server and back.
 
 use crate::rig::TestRig;
 
 #[tokio::test]
-async fn answers_pass_whole_with_outcome_agent_and_ticket() {
+async fn responses_arrive_complete_with_outcome_agent_and_ticket() {
     let rig = TestRig::new().await;
     let caller = rig.caller().await;
     let reply = caller
@@ -17,7 +17,7 @@
             b"",
         )
         .await
-        .expect("an answer");
+        .expect("a response");
     assert_eq!(reply.status, 200);
     assert_eq!(reply.body.as_deref(), Some(&b"/status/7?work_ms=1"[..]));
     assert_eq!(reply.outcome(), "done");
@@ -35,7 +35,7 @@
     let caller = rig.caller().await;
     let body = vec![7; 200_000];
     let reply = caller.send("POST", "/upload", &[], &body).await;
-    assert_eq!(reply.expect("an answer").outcome(), "done");
+    assert_eq!(reply.expect("a response").outcome(), "done");
     assert_eq!(rig.pairs[0].backend.record.lock().last_body, body);
 }
 
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn the_systems_own_paths_are_not_reachable_in_any_spelling() {
+async fn reserved_paths_are_unreachable_in_any_spelling() {
     let rig = TestRig::new().await;
     let caller = rig.caller().await;
     let paths = [
@@ -71,7 +71,7 @@
         let reply = caller
             .send("POST", path, &[], b"")
             .await
-            .expect("an answer");
+            .expect("a response");
         assert_eq!(reply.status, 404, "{path}");
     }
     assert!(rig.pairs[0].backend.record.lock().cancelled.is_empty());
--- a/bins/agent/tests/all/rig/backend.rs
+++ b/bins/agent/tests/all/rig/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server that speaks HTTP/1.1 by hand, so that it can break it in every way.
+//! A backend server with a hand-written HTTP/1.1 side, so that it can violate the protocol.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -12,22 +12,22 @@
 
 use super::{local, to_v4};
 
-/// What a backend server has seen.
+/// What a backend server has received, and how it is set to respond.
 #[derive(Default)]
 pub(crate) struct BackendRecord {
-    /// Requests that started, by path.
+    /// Paths of the requests that started.
     pub(crate) started: Vec<String>,
     /// Attempts that started.
     pub(crate) attempts: HashSet<String>,
-    /// Attempts that were cancelled before their start.
+    /// Attempts that were cancelled before they started.
     pub(crate) cancelled: HashSet<String>,
-    /// Connections that were opened.
+    /// Number of accepted connections.
     pub(crate) connections: usize,
-    /// The state that its health endpoint claims.
+    /// The state that the health endpoint reports; `None` is "ready".
     pub(crate) health: Option<&'static str>,
-    /// Whether it refuses every request before its start.
+    /// Whether it refuses every request before starting it.
     pub(crate) sheds: bool,
-    /// Requests that it refused so.
+    /// Number of requests refused before they started.
     pub(crate) shed: usize,
     /// The body of the last request that started.
     pub(crate) last_body: Vec<u8>,
@@ -55,13 +55,13 @@
         }
     }
 
-    /// How many requests started on a path.
+    /// Returns how many requests started on a path.
     pub(crate) fn started(&self, path: &str) -> usize {
         let record = self.record.lock();
         record.started.iter().filter(|seen| *seen == path).count()
     }
 
-    /// Closes every connection and takes no more.
+    /// Closes every connection and accepts no more.
     pub(crate) fn kill(&self) {
         self.task.abort();
     }
@@ -75,14 +75,14 @@
     }
 }
 
-struct Received {
+struct ReceivedRequest {
     head: String,
     path: String,
     attempt: String,
     body: Vec<u8>,
 }
 
-async fn receive(stream: &mut BufReader<TcpStream>) -> Option<Received> {
+async fn receive(stream: &mut BufReader<TcpStream>) -> Option<ReceivedRequest> {
     let mut head = String::new();
     loop {
         let before = head.len();
@@ -106,7 +106,7 @@
     stream.read_exact(&mut body).await.ok()?;
     let path = head.split(' ').nth(1)?.to_owned();
     let attempt = field("lovagelatch-attempt").unwrap_or_default();
-    Some(Received {
+    Some(ReceivedRequest {
         head,
         path,
         attempt,
@@ -118,16 +118,16 @@
     let mut stream = BufReader::new(stream);
     while let Some(request) = receive(&mut stream).await {
         let stream = stream.get_mut();
-        if answer(stream, &request, &record).await.is_none() {
+        if respond(stream, &request, &record).await.is_none() {
             return;
         }
     }
 }
 
-/// Answers one request; `None` closes the connection.
-async fn answer(
+/// Serves one request; `None` closes the connection.
+async fn respond(
     stream: &mut TcpStream,
-    request: &Received,
+    request: &ReceivedRequest,
     record: &Mutex<BackendRecord>,
 ) -> Option<()> {
     if let Some(attempt) = request
@@ -145,7 +145,7 @@
     let sheds = record.lock().sheds;
     if sheds || request.path.starts_with("/shed") {
         record.lock().shed += 1;
-        // A dependency refused, and its link has decided about another try.
+        // Below, a dependency refused the call, and the agent next to it decided about retries.
         let below = match request.path.as_str() {
             "/shed-below" => "lovagelatch-attempts-left: 0\r\n",
             _ => "",
@@ -154,7 +154,7 @@
         return send(stream, "503 Service Unavailable", &fields, b"").await;
     }
     if request.path == "/queued" {
-        // Waits in the server's own queue for ever: never starts.
+        // Waits in the server's queue and never starts.
         tokio::time::sleep(Duration::from_secs(60)).await;
         return None;
     }
@@ -172,7 +172,7 @@
             send(stream, "200 OK", other, b"another caller's claim").await
         }
         "/restarted" => {
-            // It dies after the start; its successor never heard of the attempt.
+            // The server fails after the start; its successor does not know the attempt.
             record.lock().attempts.remove(&request.attempt);
             None
         }
@@ -232,7 +232,7 @@
     stream.write_all(body).await.ok()
 }
 
-/// An answer of a megabyte that takes ten seconds.
+/// Sends a response of one megabyte over ten seconds.
 async fn endless(stream: &mut TcpStream, attempt: &str) -> Option<()> {
     let head = format!("HTTP/1.1 200 OK\r\n{attempt}content-length: 1000000\r\n\r\n");
     stream.write_all(head.as_bytes()).await.ok()?;
--- a/bins/agent/tests/all/rig/caller.rs
+++ b/bins/agent/tests/all/rig/caller.rs
@@ -13,31 +13,31 @@
 
 use super::{SERVICE, local};
 
-/// Longest a test waits for an answer.
-const WAIT: Duration = Duration::from_secs(10);
+/// How long a test waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes of an answer that a caller takes before it reads them.
+/// Bytes of a response that a caller receives before it reads them.
 const STREAM_WINDOW: u32 = 32 * 1024;
 
 type ClientStream = h3::client::RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
 
-/// A flow.
+/// A caller with one flow.
 pub(crate) struct TestCaller {
     pub(crate) connection: Connection,
     sender: SendRequest<h3_quinn::OpenStreams, Bytes>,
     _endpoint: Endpoint,
 }
 
-/// An answer.
+/// A response.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct CallerResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// `None` when the stream was reset before its end.
+    /// `None` if the stream was reset before its end.
     pub(crate) body: Option<Vec<u8>>,
 }
 
-impl Reply {
+impl CallerResponse {
     pub(crate) fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value.and_then(|value| value.to_str().ok()).unwrap_or("")
@@ -54,7 +54,7 @@
         Self::connect_over(endpoint, address, certificate).await
     }
 
-    /// Opens a flow over a socket that is given.
+    /// Opens a flow over the given socket.
     pub(crate) async fn connect_over(
         endpoint: Endpoint,
         address: SocketAddrV4,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Opens only the QUIC connection.
+    /// Opens the QUIC connection without HTTP/3.
     pub(crate) async fn try_connect(
         address: SocketAddrV4,
         certificate: &[u8],
@@ -84,31 +84,31 @@
         Ok((endpoint, connection))
     }
 
-    pub(crate) async fn get(&self, path: &str) -> Reply {
-        self.send("GET", path, &[], b"").await.expect("an answer")
+    pub(crate) async fn get(&self, path: &str) -> CallerResponse {
+        self.send("GET", path, &[], b"").await.expect("a response")
     }
 
-    /// Sends a request and waits for its whole answer; `None` when the stream or the flow
-    /// ended before the head of the answer.
+    /// Sends a request and waits for the complete response; `None` if the stream or the flow
+    /// ended before the head of the response.
     pub(crate) async fn send(
         &self,
         method: &str,
         path: &str,
         fields: &[(&str, &str)],
         body: &[u8],
-    ) -> Option<Reply> {
+    ) -> Option<CallerResponse> {
         let exchange = async {
             let mut stream = self.start(method, path, fields, body).await?;
             let head = stream.recv_response().await.ok()?;
             let body = receive_body(&mut stream).await;
-            Some(Reply {
+            Some(CallerResponse {
                 status: head.status(),
                 headers: head.headers().clone(),
                 body,
             })
         };
-        let answer = tokio::time::timeout(WAIT, exchange).await;
-        answer.expect("an answer in time")
+        let response = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
+        response.expect("a response in time")
     }
 
     /// Sends a request and returns its stream.
@@ -127,7 +127,7 @@
         Some(stream)
     }
 
-    /// Sends the head of a request only.
+    /// Sends only the head of a request.
     pub(crate) async fn open(
         &self,
         method: &str,
@@ -160,8 +160,8 @@
     let mut body = Vec::new();
     loop {
         match stream.recv_data().await {
-            Ok(Some(mut piece)) => {
-                body.extend_from_slice(&piece.copy_to_bytes(piece.remaining()));
+            Ok(Some(mut chunk)) => {
+                body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
             }
             Ok(None) => return Some(body),
             Err(_) => return None,
@@ -184,7 +184,7 @@
     let mut config = ClientConfig::new(Arc::new(crypto));
     let mut transport = TransportConfig::default();
     transport.stream_receive_window(STREAM_WINDOW.into());
-    transport.max_idle_timeout(Some(WAIT.try_into().expect("a timeout")));
+    transport.max_idle_timeout(Some(RESPONSE_TIMEOUT.try_into().expect("a timeout")));
     config.transport_config(Arc::new(transport));
     config
 }
--- a/bins/agent/tests/all/rig/gateway.rs
+++ b/bins/agent/tests/all/rig/gateway.rs
@@ -1,5 +1,5 @@
-//! The fabric and a balancer in one: forwards callers' datagrams to an agent, sends answers
-//! from the service address, and carries what agents send each other.
+//! The network and a balancer in one: forwards callers' datagrams to an agent, sends responses
+//! from the service address, and relays traffic between agents.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -21,13 +21,13 @@
     service_address: SocketAddrV4,
     gateway: UdpSocket,
     keys: Mutex<FleetKeys>,
-    /// The first byte of the connection ID of the last short-header datagram of a caller.
+    /// The key generation, from the connection ID of the last short-header datagram of a caller.
     generation: AtomicU64,
-    /// Where datagrams of callers go.
+    /// The agent that callers' datagrams are forwarded to.
     agent: Mutex<Option<AgentAddress>>,
     service_id: Mutex<ServiceId>,
-    answers: AtomicU64,
-    /// Whether streams are taken and lead nowhere.
+    responses: AtomicU64,
+    /// Whether streams are accepted but not relayed.
     cut: watch::Sender<bool>,
 }
 
@@ -58,12 +58,12 @@
             generation: AtomicU64::new(0),
             agent: Mutex::new(None),
             service_id: Mutex::new(service_name().id()),
-            answers: AtomicU64::new(0),
+            responses: AtomicU64::new(0),
             cut: watch::Sender::new(false),
         });
         tokio::spawn(forward_callers(Arc::clone(&state)));
-        tokio::spawn(carry_datagrams(Arc::clone(&state)));
-        tokio::spawn(carry_streams(Arc::clone(&state), streams));
+        tokio::spawn(relay_datagrams(Arc::clone(&state)));
+        tokio::spawn(relay_streams(Arc::clone(&state), streams));
         Self {
             address,
             service_address,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Forwards callers' datagrams to this agent from now on, whatever their tokens say.
+    /// Forwards callers' datagrams to this agent from now on, regardless of their tokens.
     pub(crate) fn forward_to(&self, agent: AgentAddress) {
         *self.state.agent.lock() = Some(agent);
     }
 
-    /// Names another service in the frames from now on.
-    pub(crate) fn pretend_service(&self, service: ServiceId) {
+    /// Sends frames with another service ID from now on.
+    pub(crate) fn spoof_service(&self, service: ServiceId) {
         *self.state.service_id.lock() = service;
     }
 
-    /// Whether streams between agents are from now on taken without being carried.
+    /// Sets whether streams between agents are accepted without being relayed.
     pub(crate) fn cut_streams(&self, cut: bool) {
         self.state.cut.send_replace(cut);
     }
@@ -96,14 +96,14 @@
         *self.state.keys.lock() = keys;
     }
 
-    /// The key generation of the connection ID that callers used last.
+    /// Returns the key generation of the connection ID that callers used last.
     pub(crate) fn caller_generation(&self) -> u64 {
         self.state.generation.load(Ordering::Relaxed)
     }
 
-    /// Datagrams that agents sent to callers.
-    pub(crate) fn answers(&self) -> u64 {
-        self.state.answers.load(Ordering::Relaxed)
+    /// Returns the number of datagrams that agents sent to callers.
+    pub(crate) fn responses(&self) -> u64 {
+        self.state.responses.load(Ordering::Relaxed)
     }
 }
 
@@ -128,7 +128,7 @@
         revision: ConfigRevision(1),
         hops: 0,
     };
-    // A short header: its first bit is clear, and the connection ID follows at once.
+    // In a short header the first bit is clear, and the connection ID follows directly.
     if let [first, generation, ..] = datagram
         && first & 0x80 == 0
     {
@@ -141,7 +141,7 @@
     let _ = state.gateway.send_to(&frame, agent.0).await;
 }
 
-async fn carry_datagrams(state: Arc<GatewayState>) {
+async fn relay_datagrams(state: Arc<GatewayState>) {
     let mut buffer = vec![0; 65_536];
     loop {
         let Ok((length, _)) = state.gateway.recv_from(&mut buffer).await else {
@@ -151,7 +151,7 @@
             continue;
         };
         if ends.source == state.service_address {
-            state.answers.fetch_add(1, Ordering::Relaxed);
+            state.responses.fetch_add(1, Ordering::Relaxed);
             let _ = state.service.send_to(payload, ends.destination).await;
         } else {
             let _ = state.gateway.send_to(payload, ends.destination).await;
@@ -159,14 +159,14 @@
     }
 }
 
-async fn carry_streams(state: Arc<GatewayState>, listener: TcpListener) {
+async fn relay_streams(state: Arc<GatewayState>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(carry_stream(Arc::clone(&state), stream));
+        tokio::spawn(relay_stream(Arc::clone(&state), stream));
     }
 }
 
-/// Carries a stream; one that is cut stays open and silent for good.
-async fn carry_stream(state: Arc<GatewayState>, mut stream: TcpStream) {
+/// Relays a stream. A cut stream stays open and silent.
+async fn relay_stream(state: Arc<GatewayState>, mut stream: TcpStream) {
     let mut cut = state.cut.subscribe();
     let mut header = [0; HEADER_BYTES];
     if stream.read_exact(&mut header).await.is_err() {
@@ -178,10 +178,10 @@
     if *cut.borrow_and_update() {
         return std::future::pending().await;
     }
-    let Ok(mut onward) = TcpStream::connect(ends.destination).await else {
+    let Ok(mut outgoing) = TcpStream::connect(ends.destination).await else {
         return;
     };
-    let copying = tokio::io::copy_bidirectional(&mut stream, &mut onward);
+    let copying = tokio::io::copy_bidirectional(&mut stream, &mut outgoing);
     let is_cut = async {
         if cut.wait_for(|cut| *cut).await.is_err() {
             std::future::pending::<()>().await;
--- a/bins/agent/tests/all/rig/mod.rs
+++ b/bins/agent/tests/all/rig/mod.rs
@@ -1,4 +1,4 @@
-//! Everything around an agent: platform, backend server, gateway, callers.
+//! The environment of an agent: platform, backend server, gateway and callers.
 
 mod backend;
 mod caller;
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 pub(crate) use backend::TestBackend;
-pub(crate) use caller::{Reply, TestCaller};
+pub(crate) use caller::{CallerResponse, TestCaller};
 pub(crate) use gateway::TestGateway;
 pub(crate) use platform::TestPlatform;
 
@@ -33,38 +33,38 @@
     pub(crate) backend: TestBackend,
 }
 
-/// A small fleet of one service.
+/// A small fleet of one service, or of a service and its dependency.
 pub(crate) struct TestRig {
-    pub(crate) folder: PathBuf,
+    pub(crate) directory: PathBuf,
     pub(crate) platform: TestPlatform,
     pub(crate) gateway: TestGateway,
     pub(crate) pairs: Vec<AgentPair>,
     certificate: Vec<u8>,
 }
 
-/// What a test changes of the agents' settings, as lines of their `[limits]` section.
+/// The agents' settings that a test changes. `limits` holds lines of the `[limits]` section.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RigOptions {
     pub(crate) slots: u16,
     pub(crate) limits: &'static str,
-    /// Whether the second agent serves a dependency of the first one's service.
+    /// Whether the other agents serve a dependency of the first one's service.
     pub(crate) dependency: bool,
-    /// Whether the agents have no gateway.
+    /// Whether the agents run without a gateway.
     pub(crate) direct: bool,
 }
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_DIRECTORY: AtomicU32 = AtomicU32::new(0);
 
 impl TestRig {
-    /// A fleet of one agent with three slots.
+    /// Starts a fleet of one agent with three slots.
     pub(crate) async fn new() -> Self {
         Self::with_agents(1, RigOptions::default()).await
     }
 
     pub(crate) async fn with_agents(count: usize, options: RigOptions) -> Self {
-        let folder = new_folder();
-        let certificate = write_files(&folder);
-        let gateway = TestGateway::start(read_keys(&folder)).await;
+        let directory = new_directory();
+        let certificate = write_files(&directory);
+        let gateway = TestGateway::start(read_keys(&directory)).await;
         let platform = TestPlatform::start(&service_text(gateway.service_address)).await;
         let mut bound = Vec::new();
         for _ in 0..count {
@@ -76,12 +76,12 @@
             .map(|numbered| record_of(numbered, options));
         platform.set_targets(records.collect());
         let starting = bound.into_iter().enumerate().map(|(index, sockets)| {
-            start_agent(&folder, &gateway, &platform, options, (index, sockets))
+            start_agent(&directory, &gateway, &platform, options, (index, sockets))
         });
         let pairs: Vec<AgentPair> = futures::future::join_all(starting).await;
         gateway.forward_to(pairs[0].address);
         Self {
-            folder,
+            directory,
             platform,
             gateway,
             pairs,
@@ -94,8 +94,8 @@
         TestCaller::connect(self.gateway.service_address, &self.certificate).await
     }
 
-    /// Waits until two agents of one service have heard of each other.
-    pub(crate) async fn acquainted(&self) {
+    /// Waits until both agents of one service know each other.
+    pub(crate) async fn wait_for_peers(&self) {
         eventually("the agents know each other", || {
             self.pairs.iter().all(|pair| pair.agent.peer_count() == 1)
         })
@@ -103,7 +103,7 @@
     }
 
     /// Waits until the first agent's configuration is in force.
-    pub(crate) async fn acquainted_with_config(&self) {
+    pub(crate) async fn wait_for_config(&self) {
         self.caller().await;
     }
 
@@ -114,16 +114,16 @@
         opened.map(drop)
     }
 
-    /// The address at which agents without a gateway are reached.
+    /// Returns the service address of agents without a gateway.
     pub(crate) fn direct_address(&self) -> SocketAddrV4 {
         direct_address(self.gateway.service_address)
     }
 
     pub(crate) fn keys(&self) -> FleetKeys {
-        read_keys(&self.folder)
+        read_keys(&self.directory)
     }
 
-    /// Lists one more agent, which nothing runs behind.
+    /// Adds an agent to the instance list without running it.
     pub(crate) fn list_peer(&self, peer: AgentAddress) {
         let addresses = self.pairs.iter().map(|pair| pair.address).chain([peer]);
         let records = addresses.zip(1..);
@@ -135,12 +135,12 @@
         &self.certificate
     }
 
-    /// Trusts another certificate from now on.
+    /// Makes callers trust another certificate from now on.
     pub(crate) fn trust(&mut self, certificate: Vec<u8>) {
         self.certificate = certificate;
     }
 
-    /// Ends an agent without warning, and takes it out of the instance list.
+    /// Stops an agent abruptly and removes it from the instance list.
     pub(crate) fn kill(&mut self, index: usize) {
         self.pairs.remove(index);
         let addresses = self.pairs.iter().map(|pair| pair.address);
@@ -152,7 +152,7 @@
 
 impl Drop for TestRig {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -171,12 +171,12 @@
     }
 }
 
-pub(crate) fn read_keys(folder: &Path) -> FleetKeys {
-    let text = std::fs::read_to_string(folder.join("fleet.keys")).expect("the key file");
-    parse_key_file(&text).expect("good keys")
+pub(crate) fn read_keys(directory: &Path) -> FleetKeys {
+    let text = std::fs::read_to_string(directory.join("fleet.keys")).expect("the key file");
+    parse_key_file(&text).expect("valid keys")
 }
 
-/// A service address that no socket of the tests is bound to.
+/// A service address to which no socket of the tests is bound.
 fn direct_address(address: SocketAddrV4) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 77), address.port())
 }
@@ -191,34 +191,34 @@
     )
 }
 
-fn new_folder() -> PathBuf {
-    let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+fn new_directory() -> PathBuf {
+    let number = NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed);
     let name = format!("lovagelatch-agent-{}-{number}", std::process::id());
-    let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    let directory = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&directory).expect("a directory");
+    directory
 }
 
-/// Writes keys, certificate and private key; returns the certificate.
-fn write_files(folder: &Path) -> Vec<u8> {
+/// Writes the key file, the certificate and its private key; returns the certificate.
+fn write_files(directory: &Path) -> Vec<u8> {
     let secret = KeySecret::generate(KeyGeneration(1)).expect("randomness");
     let keys = format!("[keys]\ncurrent = 1\n1 = {}\n", secret.to_hex());
-    let path = folder.join("fleet.keys");
+    let path = directory.join("fleet.keys");
     std::fs::write(&path, keys).expect("written");
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600)).expect("a mode");
-    write_certificate(folder)
+    write_certificate(directory)
 }
 
-pub(crate) fn write_certificate(folder: &Path) -> Vec<u8> {
+pub(crate) fn write_certificate(directory: &Path) -> Vec<u8> {
     let made = rcgen::generate_simple_self_signed(vec![format!("{SERVICE}.test")]);
     let made = made.expect("a certificate");
-    std::fs::write(folder.join("cert.pem"), made.cert.pem()).expect("written");
+    std::fs::write(directory.join("cert.pem"), made.cert.pem()).expect("written");
     let key = made.signing_key.serialize_pem();
-    std::fs::write(folder.join("key.pem"), key).expect("written");
+    std::fs::write(directory.join("key.pem"), key).expect("written");
     made.cert.der().to_vec()
 }
 
-/// A UDP and a TCP socket on one free port.
+/// Binds a UDP and a TCP socket to the same free port.
 async fn control_sockets() -> ControlSockets {
     loop {
         let datagrams = UdpSocket::bind(local(0)).await.expect("a socket");
@@ -255,7 +255,7 @@
 }
 
 async fn start_agent(
-    folder: &Path,
+    directory: &Path,
     gateway: &TestGateway,
     platform: &TestPlatform,
     options: RigOptions,
@@ -264,13 +264,13 @@
     let backend = TestBackend::start().await;
     let address = address_of(&sockets).0;
     let text = settings_text(
-        folder,
+        directory,
         gateway,
         platform,
         options,
         (index, address, &backend),
     );
-    let settings = AgentSettings::parse(&text).expect("good settings");
+    let settings = AgentSettings::parse(&text).expect("valid settings");
     let log = Logger::root(slog::Discard, o!());
     let agent = RunningAgent::start(settings, sockets, log).await;
     AgentPair {
@@ -281,13 +281,13 @@
 }
 
 fn settings_text(
-    folder: &Path,
+    directory: &Path,
     gateway: &TestGateway,
     platform: &TestPlatform,
     options: RigOptions,
     (index, address, backend): (usize, SocketAddrV4, &TestBackend),
 ) -> String {
-    let folder = folder.display();
+    let directory = directory.display();
     let service = service_of(options, index);
     let network = match options.direct {
         true => String::new(),
@@ -298,16 +298,16 @@
         "[process]\nname = agent-{index}\nzone = lahore-a\ncontrol = {address}\n\
          operations = 127.0.0.1:0\n\
          [platform]\naddress = {}\npoll_ms = 100\n\
-         [keys]\nfile = {folder}/fleet.keys\n\
+         [keys]\nfile = {directory}/fleet.keys\n\
          {network}\n\
          [agent]\nservice = {service}\nbackend = {}\ngateway_listen = 127.0.0.1:0\n\
-         certificate = {folder}/cert.pem\nprivate_key = {folder}/key.pem\nslots = {slots}\n\
+         certificate = {directory}/cert.pem\nprivate_key = {directory}/key.pem\nslots = {slots}\n\
          [limits]\nrequest_deadline_ms = 5000\n{}\n",
         platform.address, backend.address, options.limits
     )
 }
 
-/// Waits until `check` holds, for at most five seconds.
+/// Waits until `check` returns true, for at most five seconds.
 pub(crate) async fn eventually(what: &str, mut check: impl FnMut() -> bool) {
     for _ in 0..500 {
         if check() {
@@ -315,5 +315,5 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("did not happen in time: {what}");
+    panic!("timed out waiting: {what}");
 }
--- a/bins/agent/tests/all/rig/platform.rs
+++ b/bins/agent/tests/all/rig/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the configuration and the instance list, by HTTP.
+//! The platform: serves the configuration and the instance list over HTTP.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -11,22 +11,22 @@
 use super::{local, to_v4};
 
 #[derive(Default)]
-struct Published {
+struct PublishedState {
     text: String,
     list: InstanceList,
 }
 
-/// A platform that answers every read at once.
+/// A platform that answers every read immediately.
 pub(crate) struct TestPlatform {
     pub(crate) address: SocketAddrV4,
-    published: Arc<Mutex<Published>>,
+    published: Arc<Mutex<PublishedState>>,
 }
 
 impl TestPlatform {
     pub(crate) async fn start(text: &str) -> Self {
         let listener = TcpListener::bind(local(0)).await.expect("a listener");
         let address = to_v4(listener.local_addr().expect("an address"));
-        let published = Arc::new(Mutex::new(Published {
+        let published = Arc::new(Mutex::new(PublishedState {
             text: text.to_owned(),
             list: InstanceList::default(),
         }));
@@ -41,13 +41,13 @@
     }
 }
 
-async fn serve(listener: TcpListener, published: Arc<Mutex<Published>>) {
+async fn serve(listener: TcpListener, published: Arc<Mutex<PublishedState>>) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(answer(stream, Arc::clone(&published)));
+        tokio::spawn(respond(stream, Arc::clone(&published)));
     }
 }
 
-async fn answer(mut stream: TcpStream, published: Arc<Mutex<Published>>) {
+async fn respond(mut stream: TcpStream, published: Arc<Mutex<PublishedState>>) {
     let mut head = vec![0; 4096];
     let length = stream.read(&mut head).await.unwrap_or(0);
     let head = String::from_utf8_lossy(&head[..length]).into_owned();
@@ -61,9 +61,9 @@
         serde_json::to_string(&serde_json::json!({ "revision": 1, "text": text }))
     };
     let body = body.expect("JSON");
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let _ = stream.write_all(answer.as_bytes()).await;
+    let _ = stream.write_all(response.as_bytes()).await;
 }
