--- a/bins/lovagelatch/src/check.rs
+++ b/bins/lovagelatch/src/check.rs
@@ -1,4 +1,4 @@
-//! `lovagelatch check`: every fault of a text.
+//! `lovagelatch check`: lists every fault of a service text.
 
 use std::io::Read;
 use std::path::Path;
@@ -7,37 +7,37 @@
 use serde::Serialize;
 
 use crate::failure::CommandError;
-use crate::output::{LineTone, Verdict, print_json, print_line};
+use crate::output::{CommandOutcome, LineStyle, print_json, print_line};
 
 #[derive(Serialize)]
 struct CheckReport {
     valid: bool,
     services: usize,
     addresses: usize,
-    faults: Vec<FaultLine>,
+    faults: Vec<FaultEntry>,
 }
 
 #[derive(Serialize)]
-struct FaultLine {
+struct FaultEntry {
     line: usize,
     message: String,
 }
 
-pub(crate) fn run(path: &Path, json: bool) -> Result<Verdict, CommandError> {
-    let report = report_of(&read_source(path)?);
+pub(crate) fn run(path: &Path, json: bool) -> Result<CommandOutcome, CommandError> {
+    let report = check_report(&read_source(path)?);
     if json {
         print_json(&report)?;
     } else {
         print_report(path, &report);
     }
     Ok(if report.valid {
-        Verdict::Good
+        CommandOutcome::Passed
     } else {
-        Verdict::Bad
+        CommandOutcome::Failed
     })
 }
 
-/// Reads a text, at most one byte more than is allowed, so that an endless input ends.
+/// Reads a text, up to one byte more than the maximum size, so that an endless input terminates.
 pub(crate) fn read_source(path: &Path) -> Result<String, CommandError> {
     let failed = |source| CommandError::File {
         path: path.to_owned(),
@@ -57,7 +57,7 @@
     Ok(text)
 }
 
-fn report_of(source: &str) -> CheckReport {
+fn check_report(source: &str) -> CheckReport {
     match ServiceText::parse(source) {
         Ok(text) => CheckReport {
             valid: true,
@@ -72,7 +72,7 @@
         Err(faults) => {
             let faults = faults.0.iter();
             let faults = faults
-                .map(|fault| FaultLine {
+                .map(|fault| FaultEntry {
                     line: fault.line,
                     message: fault.kind.to_string(),
                 })
@@ -91,18 +91,18 @@
     let path = path.display();
     for fault in &report.faults {
         print_line(
-            LineTone::Bad,
+            LineStyle::Error,
             &format!("{path}:{}: {}", fault.line, fault.message),
         );
     }
     if report.valid {
         let (services, addresses) = (report.services, report.addresses);
         let line = format!("{path}: valid: {services} services, {addresses} addresses");
-        print_line(LineTone::Good, &line);
+        print_line(LineStyle::Success, &line);
     } else {
         let count = report.faults.len();
         print_line(
-            LineTone::Plain,
+            LineStyle::Plain,
             &format!("{count} faults; the text would be refused"),
         );
     }
--- a/bins/lovagelatch/src/client.rs
+++ b/bins/lovagelatch/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking processes by HTTP on their operations addresses.
+//! HTTP requests to the operations addresses of processes.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 
 use crate::failure::CommandError;
 
-/// Longest wait for one answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Reads a JSON answer.
+/// Sends a GET request and decodes the JSON response.
 pub(crate) async fn get_json<V: DeserializeOwned>(
     address: SocketAddrV4,
     path: &str,
 ) -> Result<V, CommandError> {
-    let no_answer = |reason: String| CommandError::NoAnswer { address, reason };
-    let answer = tokio::time::timeout(TIMEOUT, get(address, path)).await;
-    let body = answer
-        .map_err(|_| no_answer("timeout".to_owned()))?
-        .map_err(no_answer)?;
-    serde_json::from_slice(&body).map_err(|error| no_answer(error.to_string()))
+    let failed = |reason: String| CommandError::RequestFailed { address, reason };
+    let response = tokio::time::timeout(REQUEST_TIMEOUT, get(address, path)).await;
+    let body = response
+        .map_err(|_| failed("timeout".to_owned()))?
+        .map_err(failed)?;
+    serde_json::from_slice(&body).map_err(|error| failed(error.to_string()))
 }
 
 async fn get(address: SocketAddrV4, path: &str) -> Result<Bytes, String> {
@@ -42,12 +42,12 @@
         .header(http::header::HOST, address.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(|error| error.to_string())?;
-    let answer = sender
+    let response = sender
         .send_request(request)
         .await
         .map_err(|error| error.to_string())?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await;
     driver.abort();
@@ -62,7 +62,7 @@
     }
 }
 
-/// Runs a future to its end.
+/// Runs a future to completion on a single-threaded runtime.
 pub(crate) fn block_on<T>(
     future: impl Future<Output = Result<T, CommandError>>,
 ) -> Result<T, CommandError> {
--- a/bins/lovagelatch/src/command.rs
+++ b/bins/lovagelatch/src/command.rs
@@ -1,11 +1,11 @@
-//! The command line.
+//! Command line arguments.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 
-/// Checks and plans service texts, asks instances what they know, keeps the fleet key file.
+/// Checks and plans service texts, queries instances, manages the fleet key file.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub(crate) enum OperatorCommand {
@@ -32,22 +32,22 @@
         #[bpaf(positional("NEW"))]
         new: PathBuf,
     },
-    /// Ask instances which revision is in force, who lags and what they see
+    /// Query instances for the revision in force, lagging peers and what they see
     #[bpaf(command)]
     Status {
         /// Print JSON
         json: bool,
-        /// The platform's address; its instance list says whom to ask
+        /// The platform's address; its instance list gives the instances to query
         #[bpaf(argument("IP:PORT"))]
         platform: Option<SocketAddrV4>,
-        /// Operations addresses of instances to ask
+        /// Operations addresses of instances to query
         #[bpaf(positional("IP:PORT"))]
         instances: Vec<SocketAddrV4>,
     },
-    /// Ask an instance why new work goes where it goes
+    /// Explain where an instance places new work, and why
     #[bpaf(command)]
     Explain(#[bpaf(external(explain_command))] ExplainCommand),
-    /// Make or rotate the fleet key file
+    /// Create, rotate or verify the fleet key file
     #[bpaf(command)]
     Keys(#[bpaf(external(key_command))] KeyCommand),
 }
@@ -55,7 +55,7 @@
 /// What to explain.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum ExplainCommand {
-    /// Why a new flow goes to the agent that it goes to
+    /// Why a new flow is placed at its agent
     #[bpaf(command)]
     Flow {
         /// Print JSON
@@ -85,7 +85,7 @@
         #[bpaf(argument("IP:PORT"))]
         address: SocketAddrV4,
     },
-    /// What a request that comes now would cost at each gate
+    /// What a request would cost at each gate now
     #[bpaf(command)]
     Request {
         /// Print JSON
@@ -113,14 +113,14 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Rotation, step 2: use the added key, once every process has taken step 1
+    /// Rotation, step 2: use the added key, once every process has reloaded the file of step 1
     #[bpaf(command)]
     Switch {
         /// The key file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Rotation, step 3: take the old key out, once flows opened under it have ended
+    /// Rotation, step 3: remove the old key, once flows opened under it have ended
     #[bpaf(command)]
     Drop {
         /// The key file
--- a/bins/lovagelatch/src/explain.rs
+++ b/bins/lovagelatch/src/explain.rs
@@ -1,4 +1,4 @@
-//! `lovagelatch explain`: why a new flow or request goes where it goes, as one instance sees it.
+//! `lovagelatch explain`: where one instance places a new flow or request, and why.
 
 mod opaque;
 
@@ -11,9 +11,9 @@
 use crate::client::{block_on, get_json};
 use crate::command::ExplainCommand;
 use crate::failure::CommandError;
-use crate::output::{LineTone, TableRow, Verdict, print_json, print_line, print_table};
+use crate::output::{CommandOutcome, LineStyle, TableRow, print_json, print_line, print_table};
 
-pub(crate) fn run(command: &ExplainCommand) -> Result<Verdict, CommandError> {
+pub(crate) fn run(command: &ExplainCommand) -> Result<CommandOutcome, CommandError> {
     match command {
         ExplainCommand::Flow {
             json,
@@ -36,23 +36,28 @@
     address: SocketAddrV4,
     flow_key: Option<&str>,
     json: bool,
-) -> Result<Verdict, CommandError> {
+) -> Result<CommandOutcome, CommandError> {
     let key = flow_key
         .map(|key| format!("&key={key}"))
         .unwrap_or_default();
     let path = format!("/explain/flow?address={address}{key}");
-    let answer: Value = block_on(get_json(instance, &path))?;
+    let explanation: Value = block_on(get_json(instance, &path))?;
     if json {
-        print_json(&answer)?;
+        print_json(&explanation)?;
     } else {
-        print_answer(&answer);
+        print_flow(&explanation);
     }
-    let found = answer["service"].is_string();
-    Ok(if found { Verdict::Good } else { Verdict::Bad })
+    let found = explanation["service"].is_string();
+    Ok(if found {
+        CommandOutcome::Passed
+    } else {
+        CommandOutcome::Failed
+    })
 }
 
-/// The costs come least first; equal ones are broken by who was chosen less often before.
-fn explain_request(instance: SocketAddrV4, json: bool) -> Result<Verdict, CommandError> {
+/// The instance returns the gates in ascending order of cost; among equal costs, the gate chosen
+/// less often comes first.
+fn explain_request(instance: SocketAddrV4, json: bool) -> Result<CommandOutcome, CommandError> {
     let gates: Vec<GateCost> = block_on(get_json(instance, "/explain/request"))?;
     if json {
         print_json(&gates)?;
@@ -60,22 +65,22 @@
         print_costs(&gates);
     }
     Ok(if gates.is_empty() {
-        Verdict::Bad
+        CommandOutcome::Failed
     } else {
-        Verdict::Good
+        CommandOutcome::Passed
     })
 }
 
 fn print_costs(gates: &[GateCost]) {
     if gates.is_empty() {
-        print_line(LineTone::Bad, "no gate takes new requests");
+        print_line(LineStyle::Error, "no gate takes new requests");
         return;
     }
     let heading = ["RANK", "AGENT", "WAIT", "COST"]
         .map(str::to_owned)
         .to_vec();
     let mut rows = vec![TableRow {
-        tone: LineTone::Plain,
+        style: LineStyle::Plain,
         cells: heading,
     }];
     for (index, gate) in gates.iter().enumerate() {
@@ -86,31 +91,34 @@
             millis(gate.wait),
             millis(gate.cost),
         ];
-        let tone = if index == 0 {
-            LineTone::Good
+        let style = if index == 0 {
+            LineStyle::Success
         } else {
-            LineTone::Plain
+            LineStyle::Plain
         };
-        rows.push(TableRow { tone, cells });
+        rows.push(TableRow { style, cells });
     }
     print_table(&rows);
 }
 
-fn print_answer(answer: &Value) {
-    let revision = word(&answer["config_revision"]);
-    let (address, service) = (word(&answer["address"]), word(&answer["service"]));
-    let agency = word(&answer["agency"]);
+fn print_flow(explanation: &Value) {
+    let revision = cell_text(&explanation["config_revision"]);
+    let (address, service) = (
+        cell_text(&explanation["address"]),
+        cell_text(&explanation["service"]),
+    );
+    let agency = cell_text(&explanation["agency"]);
     print_line(
-        LineTone::Plain,
+        LineStyle::Plain,
         &format!("{address}: service {service}, agency {agency}, by revision {revision}"),
     );
     let heading = ["RANK", "TARGET", "AGENT", "ZONE", "SLOTS", "STANDING"];
     let heading = heading.map(str::to_owned).to_vec();
     let mut rows = vec![TableRow {
-        tone: LineTone::Plain,
+        style: LineStyle::Plain,
         cells: heading,
     }];
-    for (index, candidate) in answer["candidates"]
+    for (index, candidate) in explanation["candidates"]
         .as_array()
         .into_iter()
         .flatten()
@@ -118,20 +126,20 @@
     {
         let fields = ["target", "agent", "zone", "slots", "standing"];
         let mut cells = vec![(index + 1).to_string()];
-        cells.extend(fields.iter().map(|field| word(&candidate[field])));
-        let tone = if index == 0 {
-            LineTone::Good
+        cells.extend(fields.iter().map(|field| cell_text(&candidate[field])));
+        let style = if index == 0 {
+            LineStyle::Success
         } else {
-            LineTone::Plain
+            LineStyle::Plain
         };
-        rows.push(TableRow { tone, cells });
+        rows.push(TableRow { style, cells });
     }
     print_table(&rows);
-    print_line(LineTone::Plain, &word(&answer["reason"]));
+    print_line(LineStyle::Plain, &cell_text(&explanation["reason"]));
 }
 
-/// A value as a cell of a table.
-fn word(value: &Value) -> String {
+/// Formats a JSON value as a table cell.
+fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
--- a/bins/lovagelatch/src/explain/opaque.rs
+++ b/bins/lovagelatch/src/explain/opaque.rs
@@ -1,15 +1,15 @@
-//! `lovagelatch explain opaque`: what one process knows of a flow whose packets are opaque.
+//! `lovagelatch explain opaque`: what one process knows about a flow of opaque packets.
 
 use std::net::SocketAddrV4;
 
 use serde_json::Value;
 
-use super::word;
+use super::cell_text;
 use crate::client::{block_on, get_json};
 use crate::failure::CommandError;
-use crate::output::{LineTone, TableRow, Verdict, print_json, print_line, print_table};
+use crate::output::{CommandOutcome, LineStyle, TableRow, print_json, print_line, print_table};
 
-/// Columns of the table of candidates, with the fields that they show.
+/// Columns of the candidate table: heading and JSON field.
 const COLUMNS: [(&str, &str); 9] = [
     ("AGENT", "agent"),
     ("STANDING", "standing"),
@@ -27,68 +27,79 @@
     client: SocketAddrV4,
     address: SocketAddrV4,
     json: bool,
-) -> Result<Verdict, CommandError> {
+) -> Result<CommandOutcome, CommandError> {
     let path = format!("/explain/flow?client={client}&address={address}");
-    let answer: Value = block_on(get_json(instance, &path))?;
+    let explanation: Value = block_on(get_json(instance, &path))?;
     if json {
-        print_json(&answer)?;
-    } else if answer["candidates"].is_array() {
-        print_balancer(&answer);
+        print_json(&explanation)?;
+    } else if explanation["candidates"].is_array() {
+        print_balancer(&explanation);
     } else {
-        print_agent(&answer);
+        print_agent(&explanation);
     }
-    let found = answer["agent"].is_string() || answer["held"].is_object();
-    Ok(if found { Verdict::Good } else { Verdict::Bad })
+    let found = explanation["agent"].is_string() || explanation["held"].is_object();
+    Ok(if found {
+        CommandOutcome::Passed
+    } else {
+        CommandOutcome::Failed
+    })
 }
 
-fn print_balancer(answer: &Value) {
-    let (route, service) = (word(&answer["route"]), word(&answer["service"]));
-    let version = word(&answer["version"]);
+fn print_balancer(explanation: &Value) {
+    let (route, service) = (
+        cell_text(&explanation["route"]),
+        cell_text(&explanation["service"]),
+    );
+    let version = cell_text(&explanation["version"]);
     print_line(
-        LineTone::Plain,
+        LineStyle::Plain,
         &format!("route {route}, new flows to service {service}, by version {version}"),
     );
-    if answer["agent"].is_string() {
-        let agent = word(&answer["agent"]);
+    if explanation["agent"].is_string() {
+        let agent = cell_text(&explanation["agent"]);
         print_line(
-            LineTone::Good,
-            &format!("the flow is taken to be at {agent}"),
+            LineStyle::Success,
+            &format!("the flow is assumed to be at {agent}"),
         );
     } else {
         print_line(
-            LineTone::Bad,
+            LineStyle::Error,
             "not known here: its next packet is searched for",
         );
     }
-    if answer["complete"] != Value::Bool(true) {
-        let line = "the view may lack targets: a search that finds nobody proves nothing";
-        print_line(LineTone::Bad, line);
+    if explanation["complete"] != Value::Bool(true) {
+        let line = "the view may lack targets: a search without a result is not conclusive";
+        print_line(LineStyle::Error, line);
     }
     let heading = COLUMNS.map(|(heading, _)| heading.to_owned()).to_vec();
     let mut rows = vec![TableRow {
-        tone: LineTone::Plain,
+        style: LineStyle::Plain,
         cells: heading,
     }];
-    let candidates = answer["candidates"].as_array().into_iter().flatten();
-    rows.extend(candidates.map(|candidate| TableRow {
-        tone: LineTone::Plain,
-        cells: COLUMNS.map(|(_, field)| word(&candidate[field])).to_vec(),
+    let candidates = explanation["candidates"].as_array().into_iter().flatten();
+    rows.extend(candidates.map(|candidate| {
+        TableRow {
+            style: LineStyle::Plain,
+            cells: COLUMNS
+                .map(|(_, field)| cell_text(&candidate[field]))
+                .to_vec(),
+        }
     }));
     print_table(&rows);
 }
 
-fn print_agent(answer: &Value) {
-    let service = word(&answer["service"]);
-    let held = &answer["held"];
+fn print_agent(explanation: &Value) {
+    let service = cell_text(&explanation["service"]);
+    let held = &explanation["held"];
     if held.is_null() {
         let line = format!("the target, of service {service}, is not known to hold the flow");
-        print_line(LineTone::Bad, &line);
+        print_line(LineStyle::Error, &line);
         return;
     }
-    let (state, silent) = (word(&held["state"]), word(&held["silent_ms"]));
+    let (state, silent) = (cell_text(&held["state"]), cell_text(&held["silent_ms"]));
     let line = format!("{state} at the target, of service {service}; last packet {silent} ms ago");
-    print_line(LineTone::Good, &line);
-    let (balancer, waiting) = (word(&held["balancer"]), word(&held["waiting_ms"]));
-    let line = format!("last balancer {balancer}; answer owed for {waiting} ms");
-    print_line(LineTone::Plain, &line);
+    print_line(LineStyle::Success, &line);
+    let (balancer, waiting) = (cell_text(&held["balancer"]), cell_text(&held["waiting_ms"]));
+    let line = format!("last balancer {balancer}; awaiting an answer for {waiting} ms");
+    print_line(LineStyle::Plain, &line);
 }
--- a/bins/lovagelatch/src/main.rs
+++ b/bins/lovagelatch/src/main.rs
@@ -1,8 +1,8 @@
-//! The operators' command: checks a service text, plans a change, asks instances for their
-//! status, explains a decision, and keeps the key file.
+//! The operators' command line tool: checks a service text, plans a change, queries instances
+//! for their status, explains a decision, and manages the key file.
 //!
-//! Exit codes, for scripts: 0 all is well; 1 the answer is no (a text has faults, a plan is
-//! risky, an instance lags); 2 the command could not be carried out.
+//! Exit codes: 0 for success; 1 for a negative result (a text has faults, a plan is risky, an
+//! instance lags); 2 if the command could not be executed.
 
 mod check;
 mod client;
@@ -19,13 +19,13 @@
 
 use command::{OperatorCommand, operator_command};
 use failure::CommandError;
-use output::Verdict;
+use output::CommandOutcome;
 
 fn main() -> ExitCode {
     let command = operator_command().run();
     match run(&command) {
-        Ok(Verdict::Good) => ExitCode::SUCCESS,
-        Ok(Verdict::Bad) => ExitCode::from(1),
+        Ok(CommandOutcome::Passed) => ExitCode::SUCCESS,
+        Ok(CommandOutcome::Failed) => ExitCode::from(1),
         Err(error) => {
             eprintln!("lovagelatch: {error}");
             ExitCode::from(2)
@@ -33,7 +33,7 @@
     }
 }
 
-fn run(command: &OperatorCommand) -> Result<Verdict, CommandError> {
+fn run(command: &OperatorCommand) -> Result<CommandOutcome, CommandError> {
     match command {
         OperatorCommand::Check { json, text } => check::run(text, *json),
         OperatorCommand::Plan {
--- a/bins/lovagelatch/src/output.rs
+++ b/bins/lovagelatch/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for scripts.
+//! Output as lines and tables for people, or as JSON for scripts.
 
 use std::io::IsTerminal;
 
@@ -6,59 +6,59 @@
 
 use crate::failure::CommandError;
 
-/// What the command found, for the exit code.
+/// The result of an executed command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// All is well.
-    Good,
-    /// The answer is no.
-    Bad,
+pub(crate) enum CommandOutcome {
+    /// Exit code 0.
+    Passed,
+    /// The result is negative; exit code 1.
+    Failed,
 }
 
-/// How much care a line of output asks for.
+/// The severity of an output line, shown by its colour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LineTone {
+pub(crate) enum LineStyle {
     Plain,
-    Good,
-    Notice,
-    Bad,
+    Success,
+    Warning,
+    Error,
 }
 
 const RESET: &str = "\x1b[0m";
 
-impl LineTone {
-    const fn code(self) -> &'static str {
+impl LineStyle {
+    const fn escape_code(self) -> &'static str {
         match self {
             Self::Plain => "",
-            Self::Good => "\x1b[32m",
-            Self::Notice => "\x1b[33m",
-            Self::Bad => "\x1b[31m",
+            Self::Success => "\x1b[32m",
+            Self::Warning => "\x1b[33m",
+            Self::Error => "\x1b[31m",
         }
     }
 }
 
-/// Prints a line; in colour only on a terminal.
-pub(crate) fn print_line(tone: LineTone, line: &str) {
-    if tone != LineTone::Plain && std::io::stdout().is_terminal() {
-        println!("{}{line}{RESET}", tone.code());
+/// Prints a line, in colour only on a terminal.
+pub(crate) fn print_line(style: LineStyle, line: &str) {
+    if style != LineStyle::Plain && std::io::stdout().is_terminal() {
+        println!("{}{line}{RESET}", style.escape_code());
     } else {
         println!("{line}");
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub(crate) fn print_json<V: Serialize>(value: &V) -> Result<(), CommandError> {
     println!("{}", serde_json::to_string_pretty(value)?);
     Ok(())
 }
 
-/// A row of a table with its tone.
+/// A table row and its style.
 pub(crate) struct TableRow {
-    pub(crate) tone: LineTone,
+    pub(crate) style: LineStyle,
     pub(crate) cells: Vec<String>,
 }
 
-/// Prints rows in columns; the first row is the heading.
+/// Prints rows in aligned columns. The first row is the heading.
 pub(crate) fn print_table(rows: &[TableRow]) {
     let columns = rows.iter().map(|row| row.cells.len()).max().unwrap_or(0);
     let width = |column: usize| {
@@ -71,6 +71,6 @@
         let line: Vec<String> = cells
             .map(|(cell, &width)| format!("{cell:<width$}"))
             .collect();
-        print_line(row.tone, line.join("  ").trim_end());
+        print_line(row.style, line.join("  ").trim_end());
     }
 }
--- a/bins/lovagelatch/src/plan.rs
+++ b/bins/lovagelatch/src/plan.rs
@@ -1,4 +1,4 @@
-//! `lovagelatch plan`: what changes for callers between two texts.
+//! `lovagelatch plan`: what changes for callers between two service texts.
 
 use std::path::Path;
 
@@ -7,16 +7,16 @@
 
 use crate::check::read_source;
 use crate::failure::CommandError;
-use crate::output::{LineTone, Verdict, print_json, print_line};
+use crate::output::{CommandOutcome, LineStyle, print_json, print_line};
 
 #[derive(Serialize)]
 struct PlanReport<'a> {
     risk: PlanRisk,
-    changes: Vec<ChangeLine<'a>>,
+    changes: Vec<ChangeEntry<'a>>,
 }
 
 #[derive(Serialize)]
-struct ChangeLine<'a> {
+struct ChangeEntry<'a> {
     #[serde(flatten)]
     change: &'a PlanChange,
     risk: PlanRisk,
@@ -29,26 +29,30 @@
     new: &Path,
     json: bool,
     allow_high: bool,
-) -> Result<Verdict, CommandError> {
+) -> Result<CommandOutcome, CommandError> {
     let plan = TextPlan::between(&read_text(old)?, &read_text(new)?);
     if json {
-        print_json(&report_of(&plan))?;
+        print_json(&plan_report(&plan))?;
     } else {
         print_plan(&plan);
     }
     let risky = plan.risk() == PlanRisk::High && !allow_high;
-    Ok(if risky { Verdict::Bad } else { Verdict::Good })
+    Ok(if risky {
+        CommandOutcome::Failed
+    } else {
+        CommandOutcome::Passed
+    })
 }
 
 fn read_text(path: &Path) -> Result<ServiceText, CommandError> {
     let source = read_source(path)?;
-    ServiceText::parse(&source).map_err(|_| CommandError::BadText {
+    ServiceText::parse(&source).map_err(|_| CommandError::InvalidText {
         path: path.to_owned(),
     })
 }
 
-fn report_of(plan: &TextPlan) -> PlanReport<'_> {
-    let changes = plan.changes.iter().map(|change| ChangeLine {
+fn plan_report(plan: &TextPlan) -> PlanReport<'_> {
+    let changes = plan.changes.iter().map(|change| ChangeEntry {
         change,
         risk: change.risk(),
         summary: change.to_string(),
@@ -62,20 +66,20 @@
 
 fn print_plan(plan: &TextPlan) {
     if plan.is_empty() {
-        print_line(LineTone::Good, "nothing changes for callers");
+        print_line(LineStyle::Success, "nothing changes for callers");
         return;
     }
     for (index, change) in plan.changes.iter().enumerate() {
-        let (tone, mark) = match change.risk() {
-            PlanRisk::None => (LineTone::Good, ' '),
-            PlanRisk::Notice => (LineTone::Notice, '~'),
-            PlanRisk::High => (LineTone::Bad, '!'),
+        let (style, mark) = match change.risk() {
+            PlanRisk::None => (LineStyle::Success, ' '),
+            PlanRisk::Notice => (LineStyle::Warning, '~'),
+            PlanRisk::High => (LineStyle::Error, '!'),
         };
-        print_line(tone, &format!("{mark} {}. {change}", index + 1));
-        print_line(LineTone::Plain, &format!("     {}", change.effect()));
+        print_line(style, &format!("{mark} {}. {change}", index + 1));
+        print_line(LineStyle::Plain, &format!("     {}", change.effect()));
     }
     if plan.risk() == PlanRisk::High {
         let line = "callers lose something (marked !); --allow-high accepts that";
-        print_line(LineTone::Plain, line);
+        print_line(LineStyle::Plain, line);
     }
 }
--- a/bins/lovagelatch/src/status.rs
+++ b/bins/lovagelatch/src/status.rs
@@ -1,4 +1,4 @@
-//! `lovagelatch status`: which revision is in force where, and who lags.
+//! `lovagelatch status`: the revision in force at each instance, and which instances lag.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -10,36 +10,36 @@
 
 use crate::client::{block_on, get_json};
 use crate::failure::CommandError;
-use crate::output::{LineTone, TableRow, Verdict, print_json, print_line, print_table};
-use crate::status_opaque::{OpaqueAnswer, is_opaque, print_opaque};
+use crate::output::{CommandOutcome, LineStyle, TableRow, print_json, print_line, print_table};
+use crate::status_opaque::{OpaqueStatus, is_opaque, print_opaque};
 
 #[derive(Serialize)]
 struct StatusReport {
-    /// The highest revision anyone has in force.
+    /// The highest revision in force at any instance.
     newest_revision: ConfigRevision,
-    instances: Vec<InstanceLine>,
+    instances: Vec<InstanceEntry>,
 }
 
 #[derive(Serialize)]
-struct InstanceLine {
+struct InstanceEntry {
     address: SocketAddrV4,
-    /// The instance's status, when it answered.
+    /// The instance's status, if it responded.
     status: Option<Value>,
-    /// Why not, when it did not.
+    /// Why there is no status, if it did not respond.
     error: Option<String>,
-    /// Whether it has a lower revision in force than another one.
+    /// Whether its revision in force is lower than that of another instance.
     lags: bool,
 }
 
-impl InstanceLine {
-    /// What it knows of the fleet's membership.
+impl InstanceEntry {
+    /// Returns the instance's knowledge of the fleet's membership.
     fn fleet(&self) -> Option<FleetStatus> {
         let fleet = self.status.as_ref()?.get("fleet")?;
         serde_json::from_value(fleet.clone()).ok()
     }
 
-    fn as_opaque(&self) -> OpaqueAnswer<'_> {
-        OpaqueAnswer {
+    fn opaque_status(&self) -> OpaqueStatus<'_> {
+        OpaqueStatus {
             address: self.address.to_string(),
             status: self.status.as_ref(),
             error: self.error.as_deref(),
@@ -57,8 +57,8 @@
     platform: Option<SocketAddrV4>,
     instances: &[SocketAddrV4],
     json: bool,
-) -> Result<Verdict, CommandError> {
-    let report = block_on(gather(platform, instances))?;
+) -> Result<CommandOutcome, CommandError> {
+    let report = block_on(query_all(platform, instances))?;
     let mut statuses = report
         .instances
         .iter()
@@ -67,7 +67,7 @@
         let answers: Vec<_> = report
             .instances
             .iter()
-            .map(InstanceLine::as_opaque)
+            .map(InstanceEntry::opaque_status)
             .collect();
         return Ok(print_opaque(&answers));
     }
@@ -80,10 +80,14 @@
     } else {
         print_report(&report);
     }
-    Ok(if good { Verdict::Good } else { Verdict::Bad })
+    Ok(if good {
+        CommandOutcome::Passed
+    } else {
+        CommandOutcome::Failed
+    })
 }
 
-async fn gather(
+async fn query_all(
     platform: Option<SocketAddrV4>,
     instances: &[SocketAddrV4],
 ) -> Result<StatusReport, CommandError> {
@@ -94,15 +98,15 @@
         addresses.extend(list.targets.iter().map(|target| target.operations));
     }
     if addresses.is_empty() {
-        return Err(CommandError::NobodyToAsk);
+        return Err(CommandError::NoInstances);
     }
     let mut lines = Vec::new();
     for address in addresses {
-        lines.push(ask(address).await);
+        lines.push(query(address).await);
     }
     let newest = lines
         .iter()
-        .map(InstanceLine::revision)
+        .map(InstanceEntry::revision)
         .max()
         .unwrap_or_default();
     for line in &mut lines {
@@ -114,15 +118,15 @@
     })
 }
 
-async fn ask(address: SocketAddrV4) -> InstanceLine {
+async fn query(address: SocketAddrV4) -> InstanceEntry {
     match get_json(address, "/status").await {
-        Ok(status) => InstanceLine {
+        Ok(status) => InstanceEntry {
             address,
             status: Some(status),
             error: None,
             lags: false,
         },
-        Err(error) => InstanceLine {
+        Err(error) => InstanceEntry {
             address,
             status: None,
             error: Some(error.to_string()),
@@ -150,33 +154,34 @@
     ];
     let heading = heading.map(str::to_owned).to_vec();
     let mut rows = vec![TableRow {
-        tone: LineTone::Plain,
+        style: LineStyle::Plain,
         cells: heading,
     }];
-    rows.extend(report.instances.iter().filter_map(row_of));
+    rows.extend(report.instances.iter().filter_map(table_row));
     print_table(&rows);
-    print_concerns(report);
+    print_problems(report);
     let silent = report
         .instances
         .iter()
         .filter(|line| line.error.is_some())
         .count();
     let lagging = report.instances.iter().filter(|line| line.lags).count();
-    let (revision, asked) = (report.newest_revision, report.instances.len());
-    let tone = if silent + lagging == 0 {
-        LineTone::Good
+    let (revision, queried) = (report.newest_revision, report.instances.len());
+    let style = if silent + lagging == 0 {
+        LineStyle::Success
     } else {
-        LineTone::Bad
+        LineStyle::Error
     };
-    let line = format!("revision {revision}: {asked} asked, {lagging} lag, {silent} silent");
-    print_line(tone, &line);
+    let line = format!("revision {revision}: {queried} asked, {lagging} lag, {silent} silent");
+    print_line(style, &line);
 }
 
-/// What instances hold against others, worst last; each once, by whoever has known it longest.
-fn print_concerns(report: &StatusReport) {
+/// Prints the problems that instances report about others, the most severe last. Each is printed
+/// once; of lagging reports about a peer, the one known for longest is printed.
+fn print_problems(report: &StatusReport) {
     let mut lagging = BTreeMap::new();
-    let mut concerns = BTreeSet::new();
-    for fleet in report.instances.iter().filter_map(InstanceLine::fleet) {
+    let mut problems = BTreeSet::new();
+    for fleet in report.instances.iter().filter_map(InstanceEntry::fleet) {
         for peer in &fleet.lagging {
             let known = lagging
                 .entry(peer.peer)
@@ -187,19 +192,19 @@
             .leaving
             .iter()
             .map(|agent| format!("{agent} is leaving"));
-        concerns.extend(leaving);
+        problems.extend(leaving);
         let suspected = fleet
             .suspected
             .iter()
             .map(|agent| format!("{agent} is suspected"));
-        concerns.extend(suspected);
+        problems.extend(suspected);
         let lost = fleet
             .lost_zones
             .iter()
-            .map(|zone| format!("zone {zone} is taken for lost"));
-        concerns.extend(lost);
+            .map(|zone| format!("zone {zone} is assumed lost"));
+        problems.extend(lost);
         if fleet.refused > fleet.revision {
-            concerns.insert(format!(
+            problems.insert(format!(
                 "revision {} was refused for its faults",
                 fleet.refused
             ));
@@ -208,21 +213,21 @@
     let lagging = lagging.iter().map(|(peer, (seconds, revision))| {
         format!("{peer} lags at revision {revision}, known for {seconds} s")
     });
-    for line in concerns.into_iter().chain(lagging) {
-        print_line(LineTone::Notice, &line);
+    for line in problems.into_iter().chain(lagging) {
+        print_line(LineStyle::Warning, &line);
     }
     for error in report
         .instances
         .iter()
         .filter_map(|line| line.error.as_ref())
     {
-        print_line(LineTone::Bad, error);
+        print_line(LineStyle::Error, error);
     }
 }
 
-fn row_of(line: &InstanceLine) -> Option<TableRow> {
+fn table_row(line: &InstanceEntry) -> Option<TableRow> {
     let status = line.status.as_ref()?;
-    let word = |field: &str| status[field].as_str().unwrap_or("-").to_owned();
+    let text = |field: &str| status[field].as_str().unwrap_or("-").to_owned();
     let sum = |field: &str| {
         let services = status["services"].as_array().into_iter().flatten();
         services
@@ -230,7 +235,7 @@
             .sum::<u64>()
             .to_string()
     };
-    // Balancers hold no flows and run no requests.
+    // Balancers have no counters of flows or requests.
     let counter = |names: &[&str]| {
         let counts = names
             .iter()
@@ -243,28 +248,28 @@
         }
     };
     let age = status["fleet"]["platform_age_seconds"].as_u64();
-    let heard = age.map_or_else(|| "-".to_owned(), |age| format!("{age} s ago"));
+    let last_heard = age.map_or_else(|| "-".to_owned(), |age| format!("{age} s ago"));
     let mark = if line.lags { " (lags)" } else { "" };
     let cells = vec![
-        word("name"),
-        word("binary"),
-        word("zone"),
-        word("phase"),
+        text("name"),
+        text("binary"),
+        text("zone"),
+        text("phase"),
         format!("{}{mark}", line.revision()),
         status["list_revision"].to_string(),
         sum("live"),
         sum("leaving"),
         sum("suspected"),
-        heard,
+        last_heard,
         counter(&["open_flows"]),
         counter(&["requests.not-run"]),
         counter(&["requests.unknown"]),
         counter(&["flows.ended.reset", "flows.ended.error"]),
     ];
-    let tone = if line.lags {
-        LineTone::Notice
+    let style = if line.lags {
+        LineStyle::Warning
     } else {
-        LineTone::Plain
+        LineStyle::Plain
     };
-    Some(TableRow { tone, cells })
+    Some(TableRow { style, cells })
 }
--- a/bins/lovagelatch/src/status_opaque.rs
+++ b/bins/lovagelatch/src/status_opaque.rs
@@ -1,26 +1,27 @@
-//! `lovagelatch status` of processes that carry opaque packets: which configuration and which evacuated zones
-//! are in force where.
+//! `lovagelatch status` for balancers and agents of opaque packets: the configuration and evacuated
+//! zones in force at each process.
 
 use std::collections::BTreeSet;
 
 use serde_json::Value;
 
-use crate::output::{LineTone, TableRow, Verdict, print_line, print_table};
+use crate::output::{CommandOutcome, LineStyle, TableRow, print_line, print_table};
 
-/// What one process said, or why it said nothing.
-pub(crate) struct OpaqueAnswer<'a> {
+/// The status of one process, or why it did not respond.
+pub(crate) struct OpaqueStatus<'a> {
     pub(crate) address: String,
     pub(crate) status: Option<&'a Value>,
     pub(crate) error: Option<&'a str>,
 }
 
-/// Whether a status is of a process that carries opaque packets.
+/// Returns whether a status comes from a process for opaque packets.
 pub(crate) fn is_opaque(status: &Value) -> bool {
     status["zones_revision"].is_u64()
 }
 
-/// Prints a line for each process; good when all answered and no two balancers differ on the zones.
-pub(crate) fn print_opaque(answers: &[OpaqueAnswer<'_>]) -> Verdict {
+/// Prints a line per process. Passes if all processes responded and all balancers agree on the
+/// evacuated zones.
+pub(crate) fn print_opaque(statuses: &[OpaqueStatus<'_>]) -> CommandOutcome {
     let heading = [
         "INSTANCE",
         "STATE",
@@ -31,42 +32,42 @@
         "FLOWS",
     ];
     let mut rows = vec![TableRow {
-        tone: LineTone::Plain,
+        style: LineStyle::Plain,
         cells: heading.map(str::to_owned).to_vec(),
     }];
-    rows.extend(answers.iter().filter_map(row_of));
+    rows.extend(statuses.iter().filter_map(table_row));
     print_table(&rows);
-    for error in answers.iter().filter_map(|answer| answer.error) {
-        print_line(LineTone::Bad, error);
+    for error in statuses.iter().filter_map(|entry| entry.error) {
+        print_line(LineStyle::Error, error);
     }
-    let statuses = answers.iter().filter_map(|answer| answer.status);
-    let zones: BTreeSet<String> = statuses.filter_map(balancer_zones).collect();
-    let silent = answers.iter().filter(|answer| answer.error.is_some());
+    let responses = statuses.iter().filter_map(|entry| entry.status);
+    let zones: BTreeSet<String> = responses.filter_map(balancer_zones).collect();
+    let silent = statuses.iter().filter(|entry| entry.error.is_some());
     let silent = silent.count();
     let agree = zones.len() <= 1;
     if agree {
         let zones = zones.into_iter().next().unwrap_or_default();
         let zones = if zones.is_empty() { "none" } else { &zones };
-        print_line(LineTone::Good, &format!("evacuated zones: {zones}"));
+        print_line(LineStyle::Success, &format!("evacuated zones: {zones}"));
     } else {
-        print_line(LineTone::Bad, "balancers differ on the evacuated zones");
+        print_line(LineStyle::Error, "balancers differ on the evacuated zones");
     }
     if agree && silent == 0 {
-        Verdict::Good
+        CommandOutcome::Passed
     } else {
-        Verdict::Bad
+        CommandOutcome::Failed
     }
 }
 
-/// The evacuated zones as a balancer knows them; `None` for an agent.
+/// Returns the evacuated zones that a balancer reports; `None` for an agent.
 fn balancer_zones(status: &Value) -> Option<String> {
     let zones = status["evacuated"].as_array()?;
-    let names = zones.iter().filter_map(|held| held["zone"].as_str());
+    let names = zones.iter().filter_map(|entry| entry["zone"].as_str());
     Some(names.collect::<Vec<_>>().join(", "))
 }
 
-fn row_of(answer: &OpaqueAnswer<'_>) -> Option<TableRow> {
-    let status = answer.status?;
+fn table_row(entry: &OpaqueStatus<'_>) -> Option<TableRow> {
+    let status = entry.status?;
     let number = |field: &str| {
         let value = status[field].as_u64();
         value.map_or_else(|| "-".to_owned(), |value| value.to_string())
@@ -79,18 +80,18 @@
     };
     let evacuated = match &status["evacuated"] {
         Value::Bool(true) => "its own zone".to_owned(),
-        Value::Array(zones) => zones.iter().map(zone_words).collect::<Vec<_>>().join(", "),
+        Value::Array(zones) => zones.iter().map(zone_text).collect::<Vec<_>>().join(", "),
         _ => "-".to_owned(),
     };
     let cold = match (&status["cold_targets"], &status["cold_room"]) {
         (Value::Number(count), _) => format!("{count} targets"),
-        (_, Value::Number(room)) => format!("bears {room} more"),
+        (_, Value::Number(room)) => format!("room for {room} more"),
         _ => "-".to_owned(),
     };
     Some(TableRow {
-        tone: LineTone::Plain,
+        style: LineStyle::Plain,
         cells: vec![
-            answer.address.clone(),
+            entry.address.clone(),
             state.to_owned(),
             number("version"),
             number("zones_revision"),
@@ -101,8 +102,8 @@
     })
 }
 
-fn zone_words(held: &Value) -> String {
-    let zone = held["zone"].as_str().unwrap_or("-");
-    let seconds = held["evacuated_ms"].as_u64().unwrap_or(0) / 1_000;
+fn zone_text(entry: &Value) -> String {
+    let zone = entry["zone"].as_str().unwrap_or("-");
+    let seconds = entry["evacuated_ms"].as_u64().unwrap_or(0) / 1_000;
     format!("{zone} for {seconds} s")
 }
--- a/bins/lovagelatch/tests/all/main.rs
+++ b/bins/lovagelatch/tests/all/main.rs
@@ -24,7 +24,8 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// A file of its own for one test, below cargo's folder for test files.
+/// Returns the path of a file for one test below Cargo's folder for test files, with `content` if
+/// given.
 fn scratch_file(name: &str, content: Option<&str>) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_file(&path);
--- a/bins/lovagelatch/tests/all/texts.rs
+++ b/bins/lovagelatch/tests/all/texts.rs
@@ -1,12 +1,12 @@
-//! `check` and `plan`.
+//! Tests of `check` and `plan`.
 
 use serde_json::Value;
 
 use crate::{run, scratch_file, stderr, stdout};
 
-const GOOD: &str = "[service claims]\naddress = 127.20.0.1:4433 ludhiana\n\
+const VALID: &str = "[service claims]\naddress = 127.20.0.1:4433 ludhiana\n\
                     depends = certificates\n[service certificates]\naddress = 127.20.1.1:4433\n";
-const BAD: &str = "[service claims]\naddres = 127\ndepends = x\n";
+const INVALID: &str = "[service claims]\naddres = 127\ndepends = x\n";
 const SMALLER: &str = "[service claims]\naddress = 127.20.0.1:4433 ludhiana\n";
 const LARGER: &str = "[service claims]\naddress = 127.20.0.1:4433 ludhiana\n\
                       address = 127.20.0.2:4433 amritsar\ndepends = certificates\n\
@@ -17,23 +17,23 @@
     arguments: &'static [&'static str],
     files: &'static [&'static str],
     code: i32,
-    says: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 const TEXT_CASES: &[TextCase] = &[
     TextCase {
-        name: "check-good",
+        name: "check-valid",
         arguments: &["check"],
-        files: &[GOOD],
+        files: &[VALID],
         code: 0,
-        says: &["valid: 2 services, 2 addresses"],
+        expected: &["valid: 2 services, 2 addresses"],
     },
     TextCase {
-        name: "check-bad",
+        name: "check-invalid",
         arguments: &["check"],
-        files: &[BAD],
+        files: &[INVALID],
         code: 1,
-        says: &[
+        expected: &[
             ":1: service claims has no address",
             ":2: unknown field 'addres'",
             "3 faults",
@@ -42,37 +42,37 @@
     TextCase {
         name: "plan-same",
         arguments: &["plan"],
-        files: &[GOOD, GOOD],
+        files: &[VALID, VALID],
         code: 0,
-        says: &["nothing changes for callers"],
+        expected: &["nothing changes for callers"],
     },
     TextCase {
         name: "plan-larger",
         arguments: &["plan"],
-        files: &[GOOD, LARGER],
+        files: &[VALID, LARGER],
         code: 0,
-        says: &["add address 127.20.0.2:4433 to claims"],
+        expected: &["add address 127.20.0.2:4433 to claims"],
     },
     TextCase {
         name: "plan-smaller",
         arguments: &["plan"],
-        files: &[GOOD, SMALLER],
+        files: &[VALID, SMALLER],
         code: 1,
-        says: &["! ", "remove service certificates", "--allow-high"],
+        expected: &["! ", "remove service certificates", "--allow-high"],
     },
     TextCase {
         name: "plan-smaller-allowed",
         arguments: &["plan", "--allow-high"],
-        files: &[GOOD, SMALLER],
+        files: &[VALID, SMALLER],
         code: 0,
-        says: &["remove service certificates"],
+        expected: &["remove service certificates"],
     },
     TextCase {
-        name: "plan-bad",
+        name: "plan-invalid",
         arguments: &["plan"],
-        files: &[GOOD, BAD],
+        files: &[VALID, INVALID],
         code: 2,
-        says: &["is not a valid text"],
+        expected: &["is not a valid text"],
     },
 ];
 
@@ -86,18 +86,22 @@
         }
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
         let output = run(&arguments);
-        let said = stdout(&output) + &stderr(&output);
+        let printed = stdout(&output) + &stderr(&output);
         assert_eq!(
             output.status.code(),
             Some(case.code),
-            "{}: {said}",
+            "{}: {printed}",
             case.name
         );
-        for part in case.says {
-            assert!(said.contains(part), "{}: {part:?} not in {said}", case.name);
+        for part in case.expected {
+            assert!(
+                printed.contains(part),
+                "{}: {part:?} not in {printed}",
+                case.name
+            );
         }
         assert!(
-            !said.contains('\x1b'),
+            !printed.contains('\x1b'),
             "{}: colour without a terminal",
             case.name
         );
@@ -105,8 +109,8 @@
 }
 
 #[test]
-fn json_is_for_scripts() {
-    let old = scratch_file("json-old.ini", Some(GOOD));
+fn json_reports_are_structured() {
+    let old = scratch_file("json-old.ini", Some(VALID));
     let new = scratch_file("json-new.ini", Some(SMALLER));
     let paths = [old.display().to_string(), new.display().to_string()];
     let plan = run(&["plan", "--json", &paths[0], &paths[1]]);
@@ -120,7 +124,7 @@
 }
 
 #[test]
-fn help_version_and_completion_are_there() {
+fn help_version_and_completion_are_available() {
     for (arguments, part) in [
         (&["--help"][..], "Usage: lovagelatch"),
         (&["plan", "--help"][..], "--allow-high"),
