--- a/standins/callers/src/context.rs
+++ b/standins/callers/src/context.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
-use lovagelatch_history::{CallerRecord, HistoryWriter, SeenOutcome, unix_millis};
+use lovagelatch_history::{CallerRecord, HistoryWriter, ObservedOutcome, unix_millis};
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
@@ -43,11 +43,11 @@
 }
 
 impl CallerCounters {
-    pub(crate) fn note_outcome(&self, outcome: SeenOutcome) {
+    pub(crate) fn note_outcome(&self, outcome: ObservedOutcome) {
         let counter = match outcome {
-            SeenOutcome::Done => &self.done,
-            SeenOutcome::NotRun => &self.not_run,
-            SeenOutcome::Unknown => &self.unknown,
+            ObservedOutcome::Done => &self.done,
+            ObservedOutcome::NotRun => &self.not_run,
+            ObservedOutcome::Unknown => &self.unknown,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
--- a/standins/callers/src/exchange.rs
+++ b/standins/callers/src/exchange.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, Bytes};
 use h3::error::StreamError;
 use http::{Method, Request};
-use lovagelatch_history::{CallerRecord, RequestEnd, RequestKind, SeenOutcome};
+use lovagelatch_history::{CallerRecord, ObservedOutcome, RequestEnd, RequestKind};
 
 use crate::context::{CallerContext, now_ms};
 use crate::flow::CallerFlow;
@@ -55,7 +55,7 @@
 /// What came of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct ExchangeResult {
-    pub(crate) outcome: SeenOutcome,
+    pub(crate) outcome: ObservedOutcome,
     pub(crate) status: u16,
     pub(crate) retry_after: Option<Duration>,
     pub(crate) ticket: Option<String>,
@@ -76,7 +76,7 @@
     let sent = send(flow, scope, request, &id, deadline);
     let (end, result) = match tokio::time::timeout(limit, sent).await {
         Ok(ended) => ended,
-        Err(_) => unanswered(SeenOutcome::Unknown, "no answer in time".to_owned()),
+        Err(_) => unanswered(ObservedOutcome::Unknown, "no answer in time".to_owned()),
     };
     context.counters.note_outcome(end.outcome);
     context.write(&CallerRecord::RequestEnded {
@@ -146,13 +146,13 @@
 ) -> (RequestEnd, ExchangeResult) {
     let head = match head_of(scope, request, id, Some(deadline)) {
         Ok(head) => head,
-        Err(error) => return unanswered(SeenOutcome::NotRun, error.to_string()),
+        Err(error) => return unanswered(ObservedOutcome::NotRun, error.to_string()),
     };
     let mut stream = match flow.sender().send_request(head).await {
         Ok(stream) => stream,
         Err(StreamError::RemoteClosing { .. }) => {
             flow.retire();
-            let (end, mut result) = unanswered(SeenOutcome::NotRun, "going away".to_owned());
+            let (end, mut result) = unanswered(ObservedOutcome::NotRun, "going away".to_owned());
             result.retry_after = Some(Duration::ZERO);
             return (end, result);
         }
--- a/standins/callers/src/feed.rs
+++ b/standins/callers/src/feed.rs
@@ -9,7 +9,7 @@
 use h3::error::StreamError;
 use http::Method;
 use lovagelatch_history::{
-    CallerRecord, FeedFlaw, FeedOrder, RequestEnd, RequestKind, SeenOutcome,
+    CallerRecord, FeedFlaw, FeedOrder, ObservedOutcome, RequestEnd, RequestKind,
 };
 use serde::Deserialize;
 use thiserror::Error;
@@ -106,11 +106,11 @@
         Ok(Ok(opened)) => opened,
         Ok(Err(error)) => {
             let reason = error.to_string();
-            (feed_end(SeenOutcome::Unknown, Some(reason)), None, None)
+            (feed_end(ObservedOutcome::Unknown, Some(reason)), None, None)
         }
         Err(_) => {
             let reason = "no head in time".to_owned();
-            (feed_end(SeenOutcome::Unknown, Some(reason)), None, None)
+            (feed_end(ObservedOutcome::Unknown, Some(reason)), None, None)
         }
     };
     if let Some(mut stream) = stream {
@@ -145,7 +145,7 @@
     }
 }
 
-fn feed_end(outcome: SeenOutcome, reason: Option<String>) -> RequestEnd {
+fn feed_end(outcome: ObservedOutcome, reason: Option<String>) -> RequestEnd {
     RequestEnd {
         outcome,
         status: 0,
@@ -171,7 +171,7 @@
         Ok(stream) => stream,
         Err(StreamError::RemoteClosing { .. }) => {
             let reason = "going away".to_owned();
-            return Ok((feed_end(SeenOutcome::NotRun, Some(reason)), None, None));
+            return Ok((feed_end(ObservedOutcome::NotRun, Some(reason)), None, None));
         }
         Err(error) => return Err(error.into()),
     };
@@ -241,6 +241,6 @@
             return Some(FeedFlaw::Crossed);
         }
         let number = field("id:")?.parse().ok()?;
-        self.order.note_event(number)
+        self.order.check_event(number)
     }
 }
--- a/standins/callers/src/judge.rs
+++ b/standins/callers/src/judge.rs
@@ -4,7 +4,7 @@
 
 use h3::error::StreamError;
 use http::{HeaderMap, Response};
-use lovagelatch_history::{AnswerFlaw, RequestEnd, SeenOutcome, content_matches};
+use lovagelatch_history::{ObservedOutcome, RequestEnd, ResponseFlaw, content_matches};
 use serde::Deserialize;
 
 use crate::exchange::{AnswerCheck, ExchangeRequest, ExchangeResult};
@@ -18,7 +18,7 @@
     id: Option<String>,
 }
 
-pub(crate) fn unanswered(outcome: SeenOutcome, reason: String) -> (RequestEnd, ExchangeResult) {
+pub(crate) fn unanswered(outcome: ObservedOutcome, reason: String) -> (RequestEnd, ExchangeResult) {
     let end = RequestEnd {
         outcome,
         status: 0,
@@ -40,9 +40,9 @@
     let rejected = matches!(error, StreamError::RemoteTerminate { code, .. }
         if code.value() == H3_REQUEST_REJECTED);
     let outcome = if rejected {
-        SeenOutcome::NotRun
+        ObservedOutcome::NotRun
     } else {
-        SeenOutcome::Unknown
+        ObservedOutcome::Unknown
     };
     unanswered(outcome, error.to_string())
 }
@@ -51,10 +51,10 @@
     answer: &Response<()>,
     error: &E,
 ) -> (RequestEnd, ExchangeResult) {
-    let (mut end, result) = unanswered(SeenOutcome::Unknown, error.to_string());
+    let (mut end, result) = unanswered(ObservedOutcome::Unknown, error.to_string());
     end.status = answer.status().as_u16();
     end.agent = text(answer.headers(), "lovagelatch-agent");
-    end.flaw = Some(AnswerFlaw::BrokeOff);
+    end.flaw = Some(ResponseFlaw::BrokeOff);
     (end, result)
 }
 
@@ -72,12 +72,12 @@
 }
 
 /// What the answer says of the request; without a word of it, only success is plain.
-pub(crate) fn outcome_of(answer: &Response<()>) -> SeenOutcome {
+pub(crate) fn outcome_of(answer: &Response<()>) -> ObservedOutcome {
     match text(answer.headers(), "lovagelatch-outcome").as_deref() {
-        Some("done") => SeenOutcome::Done,
-        Some("not-run") => SeenOutcome::NotRun,
-        None if answer.status().is_success() => SeenOutcome::Done,
-        _ => SeenOutcome::Unknown,
+        Some("done") => ObservedOutcome::Done,
+        Some("not-run") => ObservedOutcome::NotRun,
+        None if answer.status().is_success() => ObservedOutcome::Done,
+        _ => ObservedOutcome::Unknown,
     }
 }
 
@@ -92,19 +92,19 @@
     let mut outcome = outcome_of(answer);
     let mut flaw = None;
     let mut answered_for = None;
-    if outcome == SeenOutcome::Done {
+    if outcome == ObservedOutcome::Done {
         let announced = text(headers, "content-length").and_then(|length| length.parse().ok());
         flaw = flaw_of(answer, body, announced, &request.check);
         if text(headers, "lovagelatch-service").is_some_and(|named| named != service) {
-            flaw = Some(AnswerFlaw::WrongService);
+            flaw = Some(ResponseFlaw::WrongService);
         }
-        if flaw == Some(AnswerFlaw::CutClean) {
-            outcome = SeenOutcome::Unknown;
+        if flaw == Some(ResponseFlaw::CutClean) {
+            outcome = ObservedOutcome::Unknown;
         }
         answered_for =
             text(headers, "lovagelatch-caller-request").filter(|answered| answered != id);
     }
-    let said = (outcome != SeenOutcome::Done).then(|| {
+    let said = (outcome != ObservedOutcome::Done).then(|| {
         let said = String::from_utf8_lossy(&body[..body.len().min(200)]);
         said.into_owned()
     });
@@ -131,17 +131,17 @@
     body: &[u8],
     announced: Option<usize>,
     check: &AnswerCheck,
-) -> Option<AnswerFlaw> {
+) -> Option<ResponseFlaw> {
     if announced.is_some_and(|length| body.len() < length) {
-        return Some(AnswerFlaw::CutClean);
+        return Some(ResponseFlaw::CutClean);
     }
     if !answer.status().is_success() {
         return None;
     }
     match check {
         AnswerCheck::Any => None,
-        AnswerCheck::Download(id, _) if !content_matches(id, body) => Some(AnswerFlaw::Crossed),
-        AnswerCheck::Download(_, bytes) if body.len() < *bytes => Some(AnswerFlaw::CutClean),
+        AnswerCheck::Download(id, _) if !content_matches(id, body) => Some(ResponseFlaw::Crossed),
+        AnswerCheck::Download(_, bytes) if body.len() < *bytes => Some(ResponseFlaw::CutClean),
         AnswerCheck::Download(..) => None,
         AnswerCheck::Filing(name) => name_flaw(body, name, |answer| answer.filing),
         AnswerCheck::Status(name) => name_flaw(body, name, |answer| answer.id),
@@ -152,9 +152,9 @@
     body: &[u8],
     name: &str,
     field: impl FnOnce(NamedAnswer) -> Option<String>,
-) -> Option<AnswerFlaw> {
+) -> Option<ResponseFlaw> {
     let Ok(answer) = serde_json::from_slice::<NamedAnswer>(body) else {
-        return Some(AnswerFlaw::CutClean);
+        return Some(ResponseFlaw::CutClean);
     };
-    (field(answer).as_deref() != Some(name)).then_some(AnswerFlaw::Crossed)
+    (field(answer).as_deref() != Some(name)).then_some(ResponseFlaw::Crossed)
 }
--- a/standins/callers/src/operation.rs
+++ b/standins/callers/src/operation.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use http::Method;
-use lovagelatch_history::{RequestKind, SeenOutcome};
+use lovagelatch_history::{ObservedOutcome, RequestKind};
 use rand::Rng;
 use rand::rngs::StdRng;
 use serde_json::json;
@@ -151,12 +151,12 @@
                 continue;
             };
             match result.outcome {
-                SeenOutcome::Done => return,
-                SeenOutcome::NotRun => {}
-                SeenOutcome::Unknown if request.ticket.is_some() => may_have_run = true,
-                SeenOutcome::Unknown => return,
+                ObservedOutcome::Done => return,
+                ObservedOutcome::NotRun => {}
+                ObservedOutcome::Unknown if request.ticket.is_some() => may_have_run = true,
+                ObservedOutcome::Unknown => return,
             }
-            fresh = result.outcome == SeenOutcome::Unknown;
+            fresh = result.outcome == ObservedOutcome::Unknown;
             if result.status == PRECONDITION_REQUIRED {
                 // A new ticket is a new filing to the system, so it is only taken when no
                 // earlier attempt may have run.
--- a/standins/callers/tests/all/cases.rs
+++ b/standins/callers/tests/all/cases.rs
@@ -5,7 +5,7 @@
 use http::Request;
 use lovagelatch_callers::ServicePlan;
 use lovagelatch_history::{
-    AnswerFlaw, CallerRecord, RequestEnd, RequestKind, RunFacts, SeenOutcome, check_run,
+    CallerRecord, ObservedOutcome, RequestEnd, RequestKind, ResponseFlaw, RunFacts, check_run,
     content_for,
 };
 
@@ -15,8 +15,8 @@
     name: &'static str,
     service: ServicePlan,
     script: Script,
-    outcome: SeenOutcome,
-    flaw: Option<AnswerFlaw>,
+    outcome: ObservedOutcome,
+    flaw: Option<ResponseFlaw>,
 }
 
 fn with_status() -> ServicePlan {
@@ -93,10 +93,10 @@
         outcome,
         flaw,
     };
-    use SeenOutcome::{Done, Unknown};
-    let crossed = Some(AnswerFlaw::Crossed);
-    let cut = Some(AnswerFlaw::CutClean);
-    let misled = Some(AnswerFlaw::WrongService);
+    use ObservedOutcome::{Done, Unknown};
+    let crossed = Some(ResponseFlaw::Crossed);
+    let cut = Some(ResponseFlaw::CutClean);
+    let misled = Some(ResponseFlaw::WrongService);
     let cases = [
         case("status", with_status(), right_status, Done, None),
         case("other-status", with_status(), crossed_status, Done, crossed),
@@ -165,7 +165,7 @@
                 request,
                 time_ms,
                 end,
-            } if end.outcome == SeenOutcome::NotRun => {
+            } if end.outcome == ObservedOutcome::NotRun => {
                 refused_at.insert(sent_for[request], *time_ms);
             }
             _ => {}
--- a/standins/history/src/backend.rs
+++ b/standins/history/src/backend.rs
@@ -1,97 +1,98 @@
-//! What a backend server did.
+//! Records written by a backend server.
 
 use serde::{Deserialize, Serialize};
 
-/// One line of a backend server's history. Times are milliseconds since the Unix epoch.
+/// One line of a backend server's history. All times are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 pub enum BackendRecord {
-    /// It listens.
+    /// The server listens.
     Ready {
-        /// When.
+        /// Time from which it listens.
         time_ms: f64,
-        /// Its name.
+        /// Name of the target.
         target: String,
-        /// Its service.
+        /// Name of the service that it runs.
         service: String,
-        /// Its slots.
+        /// Number of requests that it runs at once.
         slots: u16,
     },
-    /// It was told to leave.
+    /// The server was told to leave.
     Leaving {
-        /// When.
+        /// Time of the notice.
         time_ms: f64,
     },
-    /// It began to run a request.
+    /// The server started a request.
     Start {
-        /// When.
+        /// Time of the start.
         time_ms: f64,
-        /// The number of the run at this server.
+        /// Number of the run, unique at this server.
         run: u64,
-        /// The attempt, as the agent named it.
+        /// Attempt id assigned by the agent.
         attempt: Option<String>,
-        /// The caller's id of the request.
+        /// Request id assigned by the caller.
         request: Option<String>,
-        /// The filing.
+        /// Filing that the request belongs to; the same for all its retries.
         filing: Option<String>,
-        /// Whether it is a feed, which holds a connection and no slot.
+        /// Whether the request is a feed, which holds a connection but no slot.
         feed: bool,
     },
     /// A run ended.
     End {
-        /// When.
+        /// Time of the end.
         time_ms: f64,
-        /// Its number.
+        /// Number of the run.
         run: u64,
-        /// How long it held a slot, in milliseconds; 0 for a feed.
+        /// Time for which the run held a slot, in milliseconds; 0 for a feed.
         held_ms: f64,
     },
-    /// A request was refused before it started: no slot was free.
+    /// A request was refused before it started because no slot was free.
     Shed {
-        /// When.
+        /// Time of the refusal.
         time_ms: f64,
-        /// The attempt.
+        /// Attempt id assigned by the agent.
         attempt: Option<String>,
-        /// The caller's id of the request.
+        /// Request id assigned by the caller.
         request: Option<String>,
     },
-    /// It called a service it depends on, through the agent beside it.
+    /// The server called a service that it depends on, through its local agent.
     Called {
-        /// When the call ended.
+        /// Time at which the call ended.
         time_ms: f64,
-        /// The run that needed it.
+        /// Run that made the call.
         run: u64,
-        /// The outcome that the answer bore; `None` when none came.
+        /// Outcome given in the response; `None` without a response.
         outcome: Option<String>,
-        /// Whether the answer was whole and the right one; `None` when it was no success.
+        /// Whether the response was complete and matched the call; `None` when the call failed.
         right: Option<bool>,
     },
-    /// An attempt was cancelled before it started; it never will.
+    /// An attempt was cancelled before it started, and will not be started later.
     Cancelled {
-        /// When.
+        /// Time of the cancellation.
         time_ms: f64,
-        /// The attempt.
+        /// Attempt id assigned by the agent.
         attempt: String,
     },
 }
 
-/// One backend server's history.
+/// The history of one backend server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendHistory {
-    /// Its name.
+    /// Name of the target, from its first [`BackendRecord::Ready`].
     pub target: String,
-    /// Its service.
+    /// Service of the target, from the same record.
     pub service: String,
-    /// Its slots.
+    /// Number of slots, from the same record.
     pub slots: u16,
-    /// When it was ready.
+    /// Time of that record, in milliseconds since the Unix epoch.
     pub ready_ms: f64,
-    /// All its records.
+    /// All records, in the order in which they were written.
     pub records: Vec<BackendRecord>,
 }
 
 impl BackendHistory {
-    /// The history made of `records`; `None` when no record says whose it is.
+    /// Builds a history from `records`. Returns `None` if none of them is
+    /// [`BackendRecord::Ready`], which identifies the target.
     #[must_use]
     pub fn new(records: Vec<BackendRecord>) -> Option<Self> {
         let found = records.iter().find_map(|record| match record {
@@ -113,7 +114,7 @@
         })
     }
 
-    /// When it was first told to leave.
+    /// Returns the time of the first notice to leave, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn leaving_ms(&self) -> Option<f64> {
         self.records.iter().find_map(|record| match record {
--- a/standins/history/src/caller.rs
+++ b/standins/history/src/caller.rs
@@ -1,20 +1,20 @@
-//! What a caller saw.
+//! Records written by a caller.
 
 use serde::{Deserialize, Serialize};
 
-/// What kind of request a caller sent.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
-    /// A status, read again freely.
+    /// A status query, which is idempotent.
     Status,
-    /// A certificate or a map.
+    /// A download of a certificate or a map.
     Download,
     /// A claim or a report, which must run at most once.
     Filing,
-    /// A feed that is held open.
+    /// A feed that stays open and sends events.
     Feed,
-    /// A request for a ticket; no backend server takes part.
+    /// A request for a ticket, which involves no backend server.
     Ticket,
 }
 
@@ -24,25 +24,25 @@
 pub enum FlowEnd {
     /// The caller closed it.
     Closed,
-    /// The other side closed it in order, with nothing in flight.
+    /// The peer closed it gracefully, with nothing in flight.
     GoneAway,
     /// It could not be opened.
     Unopened {
-        /// What the library said.
+        /// Error of the client library.
         reason: String,
     },
     /// It was lost while open.
     Broken {
-        /// What the library said.
+        /// Error of the client library.
         reason: String,
     },
 }
 
-/// What a caller was told, or must assume, of a request.
+/// Outcome of a request as the caller was told or has to assume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SeenOutcome {
-    /// It ran, and here is the whole answer.
+pub enum ObservedOutcome {
+    /// It ran, and the caller has the complete response.
     Done,
     /// It did not run.
     NotRun,
@@ -50,29 +50,29 @@
     Unknown,
 }
 
-/// What was wrong with an answer.
+/// Defect of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AnswerFlaw {
-    /// It was another request's.
+pub enum ResponseFlaw {
+    /// It belongs to another request.
     Crossed,
-    /// It ended as if whole, but was short.
+    /// It is too short, although it ended as if it were complete.
     CutClean,
-    /// It broke off after its start, visibly.
+    /// It was aborted after its start, and the caller could tell.
     BrokeOff,
     /// It came from another service.
     WrongService,
 }
 
-/// What was wrong with a feed's event.
+/// Defect of a feed event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FeedFlaw {
-    /// An event before it is missing.
+    /// The event before it is missing.
     Lost,
-    /// It came twice.
+    /// It arrived twice.
     Doubled,
-    /// It came after a later one.
+    /// It arrived after a later event.
     OutOfOrder,
     /// It belongs to another feed.
     Crossed,
@@ -81,81 +81,82 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestEnd {
-    /// What the caller was told, or must assume.
-    pub outcome: SeenOutcome,
-    /// The HTTP status; 0 when none came.
+    /// Outcome that the caller was told or has to assume.
+    pub outcome: ObservedOutcome,
+    /// HTTP status; 0 without a response.
     pub status: u16,
-    /// What was wrong with the answer.
-    pub flaw: Option<AnswerFlaw>,
-    /// The caller request id that the answer bore, when it was another one.
+    /// Defect of the response, if it had one.
+    pub flaw: Option<ResponseFlaw>,
+    /// Request id in the response, if it differs from that of the request.
     pub answered_for: Option<String>,
-    /// The agent that answered.
+    /// Agent that sent the response.
     pub agent: Option<String>,
-    /// Why there was no whole answer, as the library or the answer said.
+    /// Why there is no complete response, as given by the client library or by the response.
     pub reason: Option<String>,
 }
 
-/// One line of a caller's history. Times are milliseconds since the Unix epoch.
+/// One line of a caller's history. All times are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 pub enum CallerRecord {
     /// A flow is being opened.
     FlowOpening {
-        /// Its number among this caller's flows.
+        /// Number of the flow, unique for this caller.
         flow: u64,
-        /// When.
+        /// Time at which the handshake starts.
         time_ms: f64,
-        /// The service it is for.
+        /// Service that the flow is opened for.
         service: String,
-        /// The address it goes to.
+        /// Service address that the flow is opened to.
         address: String,
     },
     /// A flow ended.
     FlowEnded {
-        /// Its number.
+        /// Number of the flow.
         flow: u64,
-        /// When.
+        /// Time of the end.
         time_ms: f64,
-        /// How.
+        /// How the flow ended.
         end: FlowEnd,
     },
     /// A request is being sent.
     RequestSent {
-        /// Its id, unique in the run.
+        /// Request id, unique in the run; every retry has its own.
         request: String,
-        /// When.
+        /// Time of the sending.
         time_ms: f64,
-        /// When the caller wanted it: the same for every retry, so that waiting counts.
+        /// Time at which the request arose. Retries keep it, so that latency includes the time
+        /// spent waiting and retrying.
         arrived_ms: f64,
-        /// The flow it goes over.
+        /// Number of the flow that carries the request.
         flow: u64,
-        /// The service it is for.
+        /// Service that the request is for.
         service: String,
-        /// The agency that asks.
+        /// Agency that makes the request.
         agency: Option<String>,
-        /// What it is.
+        /// Kind of the request.
         kind: RequestKind,
-        /// The filing, the same for every retry of it.
+        /// Filing that the request belongs to; the same for all its retries.
         filing: Option<String>,
-        /// How long it holds a slot, in milliseconds.
+        /// Time for which the request occupies a slot, in milliseconds.
         work_ms: u32,
     },
     /// A request ended.
     RequestEnded {
-        /// Its id.
+        /// Request id.
         request: String,
-        /// When.
+        /// Time of the end.
         time_ms: f64,
-        /// How.
+        /// How the request ended.
         end: RequestEnd,
     },
-    /// Something was wrong with an event of an open feed.
+    /// An event of an open feed was defective.
     FeedFlawed {
-        /// The id of the feed's request.
+        /// Id of the request that opened the feed.
         request: String,
-        /// When.
+        /// Time at which the event arrived.
         time_ms: f64,
-        /// What.
+        /// Defect of the event.
         flaw: FeedFlaw,
     },
 }
--- a/standins/history/src/check.rs
+++ b/standins/history/src/check.rs
@@ -1,4 +1,4 @@
-//! The checker: lays the histories of callers and backend servers side by side.
+//! The checker, which compares the histories of callers and backend servers.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -6,14 +6,15 @@
 
 use crate::fairness::{AgencyWork, worst_share};
 use crate::{
-    AnswerFlaw, BackendHistory, BackendRecord, CallerRecord, FeedFlaw, FlowEnd, LEAVING_GRACE_MS,
-    LatencySummary, RequestEnd, RequestKind, RunFacts, RunReport, SeenOutcome, work,
+    BackendHistory, BackendRecord, CallerRecord, FeedFlaw, FlowEnd, LEAVING_GRACE_MS,
+    LatencySummary, ObservedOutcome, RequestEnd, RequestKind, ResponseFlaw, RunFacts, RunReport,
+    work,
 };
 
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_LATENCY_MICROS: u64 = 600_000_000;
+/// Upper bound of the latency histogram, in microseconds. Longer latencies saturate.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
-/// Judges a run.
+/// Checks the histories of a run.
 #[must_use]
 pub fn check_run(
     callers: &[CallerRecord],
@@ -22,7 +23,7 @@
 ) -> RunReport {
     let mut checker = RunChecker::new(backends, facts);
     for record in callers {
-        checker.note_caller(record);
+        checker.record_caller(record);
     }
     checker.finish(backends)
 }
@@ -41,12 +42,12 @@
 struct RunChecker<'a> {
     facts: &'a RunFacts,
     report: RunReport,
-    /// The services of the backend servers that started a request, by the caller's id of it.
+    /// Services of the backend servers that started a request, by request id.
     starts: HashMap<&'a str, Vec<&'a str>>,
-    /// Start times by filing.
+    /// Start times, by filing.
     filings: HashMap<&'a str, Vec<f64>>,
     requests: HashMap<&'a str, SentRequest<'a>>,
-    broken: HashSet<u64>,
+    broken_flows: HashSet<u64>,
     agencies: BTreeMap<&'a str, BTreeMap<String, AgencyWork>>,
     latencies: Histogram<u64>,
 }
@@ -62,23 +63,21 @@
             starts: HashMap::new(),
             filings: HashMap::new(),
             requests: HashMap::new(),
-            broken: HashSet::new(),
+            broken_flows: HashSet::new(),
             agencies: BTreeMap::new(),
-            latencies: Histogram::new_with_bounds(1, LONGEST_LATENCY_MICROS, 3)
-                .expect("the bounds are constants that the library accepts"),
+            latencies: Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)
+                .expect("valid histogram bounds"),
         };
         for history in backends {
-            checker.note_backend(history);
+            checker.record_backend(history);
         }
         checker
     }
 
-    fn note_backend(&mut self, history: &'a BackendHistory) {
-        let told = self.facts.left_ms(&history.target);
-        let first_word = told.into_iter().chain(history.leaving_ms());
-        let last_allowed = first_word
-            .reduce(f64::min)
-            .map(|time| time + LEAVING_GRACE_MS);
+    fn record_backend(&mut self, history: &'a BackendHistory) {
+        let test_notice = self.facts.leaving_ms(&history.target);
+        let notices = test_notice.into_iter().chain(history.leaving_ms());
+        let last_allowed = notices.reduce(f64::min).map(|time| time + LEAVING_GRACE_MS);
         for record in &history.records {
             if let BackendRecord::Called {
                 right: Some(false), ..
@@ -110,16 +109,16 @@
         }
     }
 
-    fn note_caller(&mut self, record: &'a CallerRecord) {
+    fn record_caller(&mut self, record: &'a CallerRecord) {
         match record {
             CallerRecord::FlowOpening { .. } => self.report.flows_opened += 1,
-            CallerRecord::FlowEnded { flow, end, .. } => self.note_flow_end(*flow, end),
-            CallerRecord::RequestSent { .. } => self.note_sent(record),
+            CallerRecord::FlowEnded { flow, end, .. } => self.record_flow_end(*flow, end),
+            CallerRecord::RequestSent { .. } => self.record_sent(record),
             CallerRecord::RequestEnded {
                 request,
                 time_ms,
                 end,
-            } => self.note_end(request, *time_ms, end),
+            } => self.record_end(request, *time_ms, end),
             CallerRecord::FeedFlawed { flaw, .. } => match flaw {
                 FeedFlaw::Lost => self.report.cut += 1,
                 FeedFlaw::Doubled | FeedFlaw::OutOfOrder | FeedFlaw::Crossed => {
@@ -129,14 +128,14 @@
         }
     }
 
-    fn note_flow_end(&mut self, flow: u64, end: &FlowEnd) {
+    fn record_flow_end(&mut self, flow: u64, end: &FlowEnd) {
         let broken = matches!(end, FlowEnd::Broken { .. } | FlowEnd::Unopened { .. });
-        if broken && self.broken.insert(flow) {
+        if broken && self.broken_flows.insert(flow) {
             self.report.flows_broken += 1;
         }
     }
 
-    fn note_sent(&mut self, record: &'a CallerRecord) {
+    fn record_sent(&mut self, record: &'a CallerRecord) {
         let CallerRecord::RequestSent {
             request,
             arrived_ms,
@@ -161,36 +160,36 @@
             ended: false,
         };
         let starts = self.starts.get(request.as_str());
-        let misled = |started: &&str| started != service;
-        if starts.is_some_and(|starts| starts.iter().any(misled)) {
+        let misrouted = |started: &&str| started != service;
+        if starts.is_some_and(|starts| starts.iter().any(misrouted)) {
             self.report.wrong_service += 1;
         }
         self.requests.insert(request, sent);
     }
 
-    fn note_end(&mut self, request: &'a str, time_ms: f64, end: &'a RequestEnd) {
+    fn record_end(&mut self, request: &'a str, time_ms: f64, end: &'a RequestEnd) {
         let Some(sent) = self.requests.get_mut(request) else {
             return;
         };
         sent.ended = true;
         match end.outcome {
-            SeenOutcome::Done => self.report.done += 1,
-            SeenOutcome::NotRun => self.report.not_run += 1,
-            SeenOutcome::Unknown => self.report.unknown += 1,
+            ObservedOutcome::Done => self.report.done += 1,
+            ObservedOutcome::NotRun => self.report.not_run += 1,
+            ObservedOutcome::Unknown => self.report.unknown += 1,
         }
-        if end.outcome == SeenOutcome::NotRun && self.ran_all_the_same(request, time_ms) {
+        if end.outcome == ObservedOutcome::NotRun && self.has_run(request, time_ms) {
             self.report.not_run_but_ran += 1;
         }
-        if end.outcome == SeenOutcome::Done {
-            self.note_done(request, time_ms);
+        if end.outcome == ObservedOutcome::Done {
+            self.record_latency(request, time_ms);
         }
-        self.note_flaw(request, time_ms, end);
+        self.record_flaw(request, time_ms, end);
     }
 
-    /// A request that was told as not run must never have started, then or later. Nor may the
-    /// filing it tried have been running by then through another attempt: the caller takes the
-    /// answer as said of the filing.
-    fn ran_all_the_same(&self, request: &str, time_ms: f64) -> bool {
+    /// Returns whether a request reported as not run has run after all. Such a request must never
+    /// start, not even later. Nor may another attempt have started the same filing before
+    /// `time_ms`, because the caller applies the response to the filing as a whole.
+    fn has_run(&self, request: &str, time_ms: f64) -> bool {
         if self.starts.contains_key(request) {
             return true;
         }
@@ -199,7 +198,7 @@
         starts.is_some_and(|starts| starts.iter().any(|&start| start <= time_ms))
     }
 
-    fn note_done(&mut self, request: &str, time_ms: f64) {
+    fn record_latency(&mut self, request: &str, time_ms: f64) {
         let Some(sent) = self.requests.get(request) else {
             return;
         };
@@ -210,15 +209,15 @@
         self.latencies.saturating_record(micros);
     }
 
-    fn note_flaw(&mut self, request: &str, time_ms: f64, end: &RequestEnd) {
+    fn record_flaw(&mut self, request: &str, time_ms: f64, end: &RequestEnd) {
         match end.flaw {
-            Some(AnswerFlaw::Crossed) => self.report.crossed += 1,
-            Some(AnswerFlaw::WrongService) => self.report.wrong_service += 1,
-            Some(AnswerFlaw::CutClean) => self.report.cut += 1,
-            Some(AnswerFlaw::BrokeOff) if self.is_before_unplanned(time_ms) => {
+            Some(ResponseFlaw::Crossed) => self.report.crossed += 1,
+            Some(ResponseFlaw::WrongService) => self.report.wrong_service += 1,
+            Some(ResponseFlaw::CutClean) => self.report.cut += 1,
+            Some(ResponseFlaw::BrokeOff) if self.is_before_unplanned_fault(time_ms) => {
                 self.report.cut += 1;
             }
-            Some(AnswerFlaw::BrokeOff) | None => {}
+            Some(ResponseFlaw::BrokeOff) | None => {}
         }
         let answered_for = end.answered_for.as_deref();
         if answered_for.is_some_and(|other| !self.is_same_filing(request, other)) {
@@ -226,12 +225,13 @@
         }
     }
 
-    fn is_before_unplanned(&self, time_ms: f64) -> bool {
+    fn is_before_unplanned_fault(&self, time_ms: f64) -> bool {
         let since = self.facts.unplanned_since_ms;
         since.is_none_or(|since| time_ms < since)
     }
 
-    /// A replayed answer bears the id of the attempt that ran, which is right for its filing.
+    /// Returns whether two requests belong to the same filing. A replayed response carries the id
+    /// of the request that ran, which is correct for all requests of its filing.
     fn is_same_filing(&self, request: &str, other: &str) -> bool {
         let filing_of = |id: &str| self.requests.get(id).and_then(|sent| sent.filing);
         let filing = filing_of(request);
@@ -248,9 +248,10 @@
         self.report
     }
 
-    /// What agencies asked for counts once for each thing wanted, however often it was retried.
+    /// Returns the worst share of an agency over all services. Demand counts once for a request and
+    /// its retries, which have the same arrival time.
     fn agency_worst_share(&mut self) -> f64 {
-        let mut wanted: HashSet<(&str, u64)> = HashSet::new();
+        let mut arrivals: HashSet<(&str, u64)> = HashSet::new();
         for (id, sent) in &self.requests {
             let Some(agency) = sent.agency else { continue };
             if matches!(sent.kind, RequestKind::Feed | RequestKind::Ticket) {
@@ -259,8 +260,8 @@
             let services = self.agencies.entry(sent.service).or_default();
             let work = services.entry(agency.to_owned()).or_default();
             let amount = f64::from(sent.work_ms);
-            if wanted.insert((agency, sent.arrived_ms.to_bits())) {
-                work.asked += amount;
+            if arrivals.insert((agency, sent.arrived_ms.to_bits())) {
+                work.demanded += amount;
             }
             let runs = self.starts.get(id).map_or(0, Vec::len);
             work.served += amount * runs as f64;
--- a/standins/history/src/clock.rs
+++ b/standins/history/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock of histories: one machine runs all processes, so the wall clock is shared.
+//! The clock of all histories. All processes run on one machine and share its wall clock.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since the Unix epoch, with microseconds as the fraction.
+/// Returns the time in milliseconds since the Unix epoch, with a fraction for microseconds.
 #[must_use]
 pub fn unix_millis() -> f64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/standins/history/src/facts.rs
+++ b/standins/history/src/facts.rs
@@ -1,37 +1,37 @@
-//! What the test itself did in a run.
+//! What the test driver did in a run.
 
-/// How long after the first notice of its leaving a target may still be given new work.
+/// Time for which a target may still receive new work after its first notice to leave.
 pub const LEAVING_GRACE_MS: f64 = 3_000.0;
 
 /// The first notice that a target is leaving.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetLeaving {
-    /// The target.
+    /// Name of the target.
     pub target: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the notice, in milliseconds since the Unix epoch.
     pub time_ms: f64,
 }
 
-/// What the test itself did, and when, in milliseconds since the Unix epoch.
+/// What the test driver did. Points in time are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunFacts {
-    /// When callers began.
+    /// Time at which callers started.
     pub started_ms: f64,
-    /// When callers stopped.
+    /// Time at which callers stopped.
     pub ended_ms: f64,
-    /// The first unplanned fault, if there was one.
+    /// Time of the first unplanned fault, if there was one.
     pub unplanned_since_ms: Option<f64>,
-    /// Targets that were told to leave.
+    /// Targets that were told to leave, with the times.
     pub leaving: Vec<TargetLeaving>,
-    /// How long a published configuration took to be in force everywhere.
+    /// Time that a published configuration took to be in force in all processes, in milliseconds.
     pub config_in_force_ms: Option<f64>,
 }
 
 impl RunFacts {
-    /// When a target was first told to leave.
+    /// Returns the time at which the test first told a target to leave.
     #[must_use]
-    pub fn left_ms(&self, target: &str) -> Option<f64> {
-        let told = self.leaving.iter().filter(|told| told.target == target);
-        told.map(|told| told.time_ms).reduce(f64::min)
+    pub fn leaving_ms(&self, target: &str) -> Option<f64> {
+        let notices = self.leaving.iter().filter(|notice| notice.target == target);
+        notices.map(|notice| notice.time_ms).reduce(f64::min)
     }
 }
--- a/standins/history/src/fairness.rs
+++ b/standins/history/src/fairness.rs
@@ -1,41 +1,41 @@
-//! Whether each agency got its share of a service.
+//! Fairness of a service to its agencies.
 //!
-//! The fair share is max-min: what was served is dealt out evenly, nobody gets more than it
-//! asked for, and what is left over goes to those that asked for more.
+//! Fair shares are max-min: the work that was served is divided evenly, no agency is assigned
+//! more than it demanded, and the rest is divided among the agencies that demanded more.
 
 use std::collections::BTreeMap;
 
-/// What one agency asked of a service and got, in milliseconds of slot time.
+/// Demand and served work of one agency at one service, in milliseconds of slot time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct AgencyWork {
-    pub(crate) asked: f64,
+    pub(crate) demanded: f64,
     pub(crate) served: f64,
 }
 
-/// The least of served over fair share among the agencies of one service that asked for at
-/// least their share; 1 when nobody did.
+/// Returns the lowest ratio of served work to fair share among the agencies of one service, at
+/// most 1.
 pub(crate) fn worst_share(agencies: &BTreeMap<String, AgencyWork>) -> f64 {
     let served: f64 = agencies.values().map(|work| work.served).sum();
-    let asked: Vec<f64> = agencies.values().map(|work| work.asked).collect();
-    let level = fair_level(&asked, served);
+    let demands: Vec<f64> = agencies.values().map(|work| work.demanded).collect();
+    let level = fair_level(&demands, served);
     let shares = agencies.values().filter_map(|work| {
-        let fair = work.asked.min(level);
+        let fair = work.demanded.min(level);
         (fair > 0.0).then(|| work.served / fair)
     });
     shares.fold(1.0, f64::min)
 }
 
-/// The level at which what each asked, cut off at the level, adds up to `served`.
-fn fair_level(asked: &[f64], served: f64) -> f64 {
-    let mut rising = asked.to_vec();
+/// Returns the level for which the demands, each capped at the level, add up to `served`.
+fn fair_level(demands: &[f64], served: f64) -> f64 {
+    let mut rising = demands.to_vec();
     rising.sort_by(f64::total_cmp);
-    let mut left = served;
+    let mut remaining = served;
     for (index, &amount) in rising.iter().enumerate() {
         let sharers = (rising.len() - index) as f64;
-        if amount * sharers >= left {
-            return left / sharers;
+        if amount * sharers >= remaining {
+            return remaining / sharers;
         }
-        left -= amount;
+        remaining -= amount;
     }
     f64::INFINITY
 }
--- a/standins/history/src/feed.rs
+++ b/standins/history/src/feed.rs
@@ -1,4 +1,4 @@
-//! The order of a feed's events: ids rise by one.
+//! The order of a feed's events, whose ids increase by one.
 
 use crate::FeedFlaw;
 
@@ -9,14 +9,14 @@
 }
 
 impl FeedOrder {
-    /// A feed of which no event arrived yet; its first event may bear any id.
+    /// Creates a checker for a feed without events so far. The first event may have any id.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the next event's id and says what is wrong with it.
-    pub fn note_event(&mut self, id: u64) -> Option<FeedFlaw> {
+    /// Checks the id of the next event and returns its defect, if any.
+    pub fn check_event(&mut self, id: u64) -> Option<FeedFlaw> {
         let last = self.last.replace(id)?;
         if id == last + 1 {
             return None;
--- a/standins/history/src/file.rs
+++ b/standins/history/src/file.rs
@@ -1,4 +1,4 @@
-//! Histories on disk: JSON lines, one write for each.
+//! History files, which hold one JSON object per line.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -9,42 +9,42 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Why a history could not be read or written.
+/// Error of reading or writing a history.
 #[derive(Debug, Error)]
 pub enum HistoryError {
     /// The file could not be opened, read or written.
     #[error("{path}: {error}")]
     File {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A line is no record.
+    /// A line is not a valid record.
     #[error("{path}, line {line}: {error}")]
     Line {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line's number, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         error: serde_json::Error,
     },
 }
 
-/// Appends records to a history. Each is one write, so that a process killed between two
-/// records loses neither.
+/// Appends records to a history file. Each record is a single write without buffering, so a process
+/// that is killed loses none of the records before.
 #[derive(Debug)]
 pub struct HistoryWriter {
     file: Mutex<File>,
 }
 
 impl HistoryWriter {
-    /// Creates the history at `path`, or empties it.
+    /// Creates the history file at `path`, truncating an existing one.
     ///
     /// # Errors
     ///
-    /// What the operating system said.
+    /// Returns [`HistoryError::File`] if the file cannot be created.
     pub fn create(path: &Path) -> Result<Self, HistoryError> {
         let file = File::create(path).map_err(|error| HistoryError::File {
             path: path.to_owned(),
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// What the operating system said, or that the record has no JSON form.
+    /// Returns an error if the record cannot be serialised to JSON or the file cannot be written.
     pub fn append<R: Serialize>(&self, record: &R) -> io::Result<()> {
         let mut line = serde_json::to_vec(record)?;
         line.push(b'\n');
@@ -67,21 +67,21 @@
     }
 }
 
-/// Reads a history. A last line without its end is left out: its writer was killed in the
-/// middle of it.
+/// Reads a history file. Skips a last line without a line feed, which a process leaves behind when
+/// it is killed in the middle of a write.
 ///
 /// # Errors
 ///
-/// A [`HistoryError`] for an unreadable file or a whole line that is no record.
+/// Returns a [`HistoryError`] if the file cannot be read or a complete line is not a valid record.
 pub fn read_history<R: DeserializeOwned>(path: &Path) -> Result<Vec<R>, HistoryError> {
     let text = std::fs::read(path).map_err(|error| HistoryError::File {
         path: path.to_owned(),
         error,
     })?;
-    let whole = text.iter().rposition(|&byte| byte == b'\n').unwrap_or(0);
-    let lines = text[..whole].split(|&byte| byte == b'\n');
-    let parsed = lines.enumerate().filter(|(_, line)| !line.is_empty());
-    parsed
+    let end = text.iter().rposition(|&byte| byte == b'\n').unwrap_or(0);
+    let lines = text[..end].split(|&byte| byte == b'\n');
+    let lines = lines.enumerate().filter(|(_, line)| !line.is_empty());
+    lines
         .map(|(index, line)| {
             serde_json::from_slice(line).map_err(|error| HistoryError::Line {
                 path: path.to_owned(),
--- a/standins/history/src/lib.rs
+++ b/standins/history/src/lib.rs
@@ -1,13 +1,13 @@
-//! Histories of callers and backend servers, and the checker that judges them.
+//! Histories of callers and backend servers, and the checker that compares them.
 //!
-//! Callers and backend servers write what they saw as JSON lines, each for itself; nothing of
-//! the system under test is asked. After a run the checker lays the histories side by side:
+//! Each caller and each backend server records what it observes as JSON lines. The system under
+//! test is not queried. After a run, the checker compares the histories:
 //!
 //! ```text
 //! callers --CallerRecord--> callers.jsonl --+
 //!                                           +--> check_run --> RunReport
 //! backend --BackendRecord-> claims-1.jsonl -+       ^
-//!                                           RunFacts: what the test itself did and when
+//!                                           RunFacts: what the test driver did and when
 //! ```
 
 mod backend;
@@ -24,7 +24,7 @@
 
 pub use backend::{BackendHistory, BackendRecord};
 pub use caller::{
-    AnswerFlaw, CallerRecord, FeedFlaw, FlowEnd, RequestEnd, RequestKind, SeenOutcome,
+    CallerRecord, FeedFlaw, FlowEnd, ObservedOutcome, RequestEnd, RequestKind, ResponseFlaw,
 };
 pub use check::check_run;
 pub use clock::unix_millis;
--- a/standins/history/tests/all/checker.rs
+++ b/standins/history/tests/all/checker.rs
@@ -1,8 +1,8 @@
-//! The checker finds each broken promise, and nothing in clean histories.
+//! The checker finds each violated guarantee, and nothing in clean histories.
 
 use lovagelatch_history::{
-    AnswerFlaw, BackendRecord, CallerRecord, FeedFlaw, FlowEnd, LEAVING_GRACE_MS, RequestEnd,
-    RunReport, SeenOutcome, TargetLeaving,
+    BackendRecord, CallerRecord, FeedFlaw, FlowEnd, LEAVING_GRACE_MS, ObservedOutcome, RequestEnd,
+    ResponseFlaw, RunReport, TargetLeaving,
 };
 
 use crate::histories::{SmallHistory, TARGET, end};
@@ -10,11 +10,11 @@
 struct CheckerCase {
     name: &'static str,
     history: SmallHistory,
-    /// Field and count; every other promise must be unbroken.
+    /// Expected count by report field; all other counts must be 0.
     expected: &'static [(&'static str, u64)],
 }
 
-fn promises(report: &RunReport) -> [(&'static str, u64); 8] {
+fn violations(report: &RunReport) -> [(&'static str, u64); 8] {
     [
         ("flows_broken", report.flows_broken),
         ("unknown", report.unknown),
@@ -30,7 +30,7 @@
 fn check_all(cases: Vec<CheckerCase>) {
     for case in cases {
         let report = case.history.check();
-        for (field, count) in promises(&report) {
+        for (field, count) in violations(&report) {
             let expected = case.expected.iter().find(|(name, _)| *name == field);
             let expected = expected.map_or(0, |(_, count)| *count);
             assert_eq!(count, expected, "{}: {field}", case.name);
@@ -38,7 +38,7 @@
     }
 }
 
-fn flawed(outcome: SeenOutcome, flaw: AnswerFlaw) -> RequestEnd {
+fn flawed(outcome: ObservedOutcome, flaw: ResponseFlaw) -> RequestEnd {
     RequestEnd {
         flaw: Some(flaw),
         ..end(outcome)
@@ -48,7 +48,7 @@
 fn answered_for(other: &str) -> RequestEnd {
     RequestEnd {
         answered_for: Some(other.to_owned()),
-        ..end(SeenOutcome::Done)
+        ..end(ObservedOutcome::Done)
     }
 }
 
@@ -86,7 +86,7 @@
 
 #[test]
 fn finds_nothing_in_clean_histories() {
-    use SeenOutcome::{Done, NotRun};
+    use ObservedOutcome::{Done, NotRun};
     let new = SmallHistory::new;
     check_all(vec![
         CheckerCase {
@@ -99,12 +99,12 @@
             expected: &[],
         },
         CheckerCase {
-            name: "a flow that went away in order",
+            name: "a flow closed gracefully by its peer",
             history: new().flow_end(FlowEnd::GoneAway),
             expected: &[],
         },
         CheckerCase {
-            name: "a filing told as not run, tried again, then run once",
+            name: "a filing reported as not run, retried, then run once",
             history: new()
                 .sent("a", Some("f"))
                 .ended(20.0, "a", NotRun)
@@ -114,7 +114,7 @@
             expected: &[],
         },
         CheckerCase {
-            name: "the same filing over two flows, run once, the answer replayed to both",
+            name: "the same filing over two flows, run once, the response replayed to both",
             history: new()
                 .sent("a", Some("f"))
                 .sent("b", Some("f"))
@@ -124,7 +124,7 @@
             expected: &[],
         },
         CheckerCase {
-            name: "an idempotent request run twice, as after a lost answer",
+            name: "an idempotent request run twice, as after a lost response",
             history: new()
                 .sent("a", None)
                 .started(20.0, "a", None)
@@ -133,23 +133,23 @@
             expected: &[],
         },
         CheckerCase {
-            name: "work begun within the grace of leaving",
+            name: "work started within the grace period of leaving",
             history: leaving(new().sent("a", None), 100.0)
                 .started(100.0 + LEAVING_GRACE_MS, "a", None)
                 .ended(5_000.0, "a", Done),
             expected: &[],
         },
         CheckerCase {
-            name: "calls to a dependency, answered rightly and refused",
+            name: "calls to a dependency, one with the right response and one refused",
             history: called(called(new(), Some(true)), None),
             expected: &[],
         },
         CheckerCase {
-            name: "an answer that broke off after an unplanned fault",
+            name: "a response aborted after an unplanned fault",
             history: unplanned(new().sent("a", None).started(20.0, "a", None), 25.0).ended_with(
                 30.0,
                 "a",
-                flawed(SeenOutcome::Unknown, AnswerFlaw::BrokeOff),
+                flawed(ObservedOutcome::Unknown, ResponseFlaw::BrokeOff),
             ),
             expected: &[("unknown", 1)],
         },
@@ -172,7 +172,7 @@
             expected: &[("flows_broken", 1)],
         },
         CheckerCase {
-            name: "a flow told as broken twice counts once",
+            name: "a flow reported as broken twice counts once",
             history: new()
                 .flow_end(FlowEnd::Broken { reason: reason() })
                 .flow_end(FlowEnd::Broken { reason: reason() }),
@@ -188,7 +188,7 @@
 
 #[test]
 fn finds_doubled_and_misreported_runs() {
-    use SeenOutcome::{Done, NotRun};
+    use ObservedOutcome::{Done, NotRun};
     let new = SmallHistory::new;
     check_all(vec![
         CheckerCase {
@@ -203,7 +203,7 @@
             expected: &[("ran_twice", 1)],
         },
         CheckerCase {
-            name: "told as not run after it had run",
+            name: "reported as not run after it had run",
             history: new()
                 .sent("a", None)
                 .started(20.0, "a", None)
@@ -211,7 +211,7 @@
             expected: &[("not_run_but_ran", 1)],
         },
         CheckerCase {
-            name: "told as not run, and run later",
+            name: "reported as not run, and run later",
             history: new()
                 .sent("a", None)
                 .ended(15.0, "a", NotRun)
@@ -219,7 +219,7 @@
             expected: &[("not_run_but_ran", 1)],
         },
         CheckerCase {
-            name: "a filing told as not run while another attempt of it ran",
+            name: "a filing reported as not run while another attempt of it ran",
             history: new()
                 .sent("a", Some("f"))
                 .sent("b", Some("f"))
@@ -233,7 +233,7 @@
 
 #[test]
 fn finds_misrouted_crossed_and_cut_answers() {
-    use SeenOutcome::{Done, Unknown};
+    use ObservedOutcome::{Done, Unknown};
     let new = SmallHistory::new;
     let run = || new().sent("a", None).started(20.0, "a", None);
     check_all(vec![
@@ -246,17 +246,17 @@
             expected: &[("wrong_service", 1)],
         },
         CheckerCase {
-            name: "an answer from another service",
-            history: run().ended_with(40.0, "a", flawed(Done, AnswerFlaw::WrongService)),
+            name: "a response from another service",
+            history: run().ended_with(40.0, "a", flawed(Done, ResponseFlaw::WrongService)),
             expected: &[("wrong_service", 1)],
         },
         CheckerCase {
             name: "the content of another document",
-            history: run().ended_with(40.0, "a", flawed(Done, AnswerFlaw::Crossed)),
+            history: run().ended_with(40.0, "a", flawed(Done, ResponseFlaw::Crossed)),
             expected: &[("crossed", 1)],
         },
         CheckerCase {
-            name: "the answer of another request",
+            name: "the response to another request",
             history: run()
                 .sent("b", None)
                 .started(21.0, "b", None)
@@ -265,7 +265,7 @@
             expected: &[("crossed", 1)],
         },
         CheckerCase {
-            name: "the answer of another filing",
+            name: "the response to another filing",
             history: new()
                 .sent("a", Some("f"))
                 .sent("b", Some("g"))
@@ -276,26 +276,26 @@
             expected: &[("crossed", 1)],
         },
         CheckerCase {
-            name: "a short answer that seemed whole",
-            history: run().ended_with(40.0, "a", flawed(Unknown, AnswerFlaw::CutClean)),
+            name: "a short response that seemed complete",
+            history: run().ended_with(40.0, "a", flawed(Unknown, ResponseFlaw::CutClean)),
             expected: &[("cut", 1), ("unknown", 1)],
         },
         CheckerCase {
-            name: "an answer that broke off in a run without unplanned faults",
-            history: run().ended_with(40.0, "a", flawed(Unknown, AnswerFlaw::BrokeOff)),
+            name: "a response aborted in a run without unplanned faults",
+            history: run().ended_with(40.0, "a", flawed(Unknown, ResponseFlaw::BrokeOff)),
             expected: &[("cut", 1), ("unknown", 1)],
         },
         CheckerCase {
-            name: "an answer that broke off before the unplanned fault",
+            name: "a response aborted before the unplanned fault",
             history: unplanned(run(), 50.0).ended_with(
                 40.0,
                 "a",
-                flawed(Unknown, AnswerFlaw::BrokeOff),
+                flawed(Unknown, ResponseFlaw::BrokeOff),
             ),
             expected: &[("cut", 1), ("unknown", 1)],
         },
         CheckerCase {
-            name: "a dependency's answer to another call",
+            name: "a dependency's response to another call",
             history: called(new(), Some(false)),
             expected: &[("crossed", 1)],
         },
@@ -305,7 +305,7 @@
             expected: &[("cut", 1)],
         },
         CheckerCase {
-            name: "an event doubled in a feed",
+            name: "a duplicate event in a feed",
             history: feed_flawed(new(), FeedFlaw::Doubled),
             expected: &[("crossed", 1)],
         },
@@ -329,18 +329,18 @@
     };
     check_all(vec![
         CheckerCase {
-            name: "after the test told it to leave",
+            name: "after the test driver told it to leave",
             history: leaving(new().sent("a", None), 100.0)
                 .started(late, "a", None)
-                .ended(5_000.0, "a", SeenOutcome::Done),
+                .ended(5_000.0, "a", ObservedOutcome::Done),
             expected: &[("new_work_after_leaving", 1)],
         },
         CheckerCase {
-            name: "after it said itself that it leaves",
+            name: "after it recorded itself that it leaves",
             history: told_itself()
                 .sent("a", None)
                 .started(late, "a", None)
-                .ended(5_000.0, "a", SeenOutcome::Done),
+                .ended(5_000.0, "a", ObservedOutcome::Done),
             expected: &[("new_work_after_leaving", 1)],
         },
         CheckerCase {
@@ -348,7 +348,7 @@
             history: leaving(told_itself(), 4_000.0)
                 .sent("a", None)
                 .started(late, "a", None)
-                .ended(5_000.0, "a", SeenOutcome::Done),
+                .ended(5_000.0, "a", ObservedOutcome::Done),
             expected: &[("new_work_after_leaving", 1)],
         },
     ]);
@@ -359,14 +359,14 @@
     let report = SmallHistory::new()
         .sent("a", None)
         .started(20.0, "a", None)
-        .ended(61.0, "a", SeenOutcome::Done)
+        .ended(61.0, "a", ObservedOutcome::Done)
         .sent("b", None)
-        .ended(62.0, "b", SeenOutcome::NotRun)
+        .ended(62.0, "b", ObservedOutcome::NotRun)
         .check();
     assert_eq!(report.flows_opened, 1);
     assert_eq!(report.requests, 2);
     assert_eq!((report.done, report.not_run, report.unknown), (1, 1, 0));
-    // Wanted at 11 ms, done at 61 ms.
+    // Request "a" arrives at 11 ms and is done at 61 ms.
     assert!(
         (report.latency_ms.p50 - 50.0).abs() < 0.1,
         "{:?}",
--- a/standins/history/tests/all/content.rs
+++ b/standins/history/tests/all/content.rs
@@ -1,4 +1,4 @@
-//! Contents tell documents apart.
+//! Documents can be told apart by their contents.
 
 use lovagelatch_history::{content_for, content_matches};
 use quickcheck::TestResult;
--- a/standins/history/tests/all/feed.rs
+++ b/standins/history/tests/all/feed.rs
@@ -33,8 +33,8 @@
     ];
     for case in cases {
         let mut order = FeedOrder::new();
-        let noted = case.ids.iter().filter_map(|&id| order.note_event(id));
-        let flaws: Vec<FeedFlaw> = noted.collect();
+        let found = case.ids.iter().filter_map(|&id| order.check_event(id));
+        let flaws: Vec<FeedFlaw> = found.collect();
         assert_eq!(flaws, case.flaws, "{:?}", case.ids);
     }
 }
--- a/standins/history/tests/all/file.rs
+++ b/standins/history/tests/all/file.rs
@@ -1,4 +1,4 @@
-//! Histories on disk.
+//! Reading and writing history files.
 
 use std::io::Write;
 
@@ -9,9 +9,8 @@
     std::env::temp_dir().join(format!("lovagelatch-history-{number}-{name}.jsonl"))
 }
 
-/// Symptom: the history of a killed process cannot be read.
-/// Sequence: a process writes records; it is killed in the middle of one; the test reads them.
-/// Cause: the last line has no end and is no whole record.
+/// Guards against a history that cannot be read after its process was killed in the middle of a
+/// write, which leaves an incomplete last line.
 #[test]
 fn leaves_out_a_last_line_without_its_end() {
     let path = path("killed");
@@ -20,8 +19,8 @@
     writer.append(&record).expect("a writable file");
     let mut file = std::fs::OpenOptions::new();
     let file = file.append(true).open(&path);
-    let torn = file.and_then(|mut file| file.write_all(b"{\"record\":\"leav"));
-    torn.expect("a writable file");
+    let truncated = file.and_then(|mut file| file.write_all(b"{\"record\":\"leav"));
+    truncated.expect("a writable file");
     let records: Vec<BackendRecord> = read_history(&path).expect("a history");
     assert_eq!(records, [record]);
     let _ = std::fs::remove_file(&path);
--- a/standins/history/tests/all/histories.rs
+++ b/standins/history/tests/all/histories.rs
@@ -1,14 +1,14 @@
-//! Small hand-made histories.
+//! Builder for small histories.
 
 use lovagelatch_history::{
-    BackendHistory, BackendRecord, CallerRecord, FlowEnd, RequestEnd, RequestKind, RunFacts,
-    RunReport, SeenOutcome, check_run,
+    BackendHistory, BackendRecord, CallerRecord, FlowEnd, ObservedOutcome, RequestEnd, RequestKind,
+    RunFacts, RunReport, check_run,
 };
 
-/// The name of the one target.
+/// Name of the only target.
 pub(crate) const TARGET: &str = "claims-1";
 
-/// A history under construction: one caller, one target.
+/// Builds the histories of one caller and one target.
 pub(crate) struct SmallHistory {
     pub(crate) callers: Vec<CallerRecord>,
     pub(crate) backend: Vec<BackendRecord>,
@@ -64,7 +64,7 @@
         } else {
             RequestKind::Status
         };
-        // Arrival times differ, so that each request counts as a thing of its own.
+        // Arrival times differ, so that no request counts as a retry of another.
         let arrived_ms = 10.0 + self.callers.len() as f64;
         self.callers.push(CallerRecord::RequestSent {
             request: request.to_owned(),
@@ -98,7 +98,7 @@
         self
     }
 
-    pub(crate) fn ended(self, time_ms: f64, request: &str, outcome: SeenOutcome) -> Self {
+    pub(crate) fn ended(self, time_ms: f64, request: &str, outcome: ObservedOutcome) -> Self {
         self.ended_with(time_ms, request, end(outcome))
     }
 
@@ -118,8 +118,8 @@
     }
 }
 
-/// An end without a flaw.
-pub(crate) fn end(outcome: SeenOutcome) -> RequestEnd {
+/// Returns a request end without a defect.
+pub(crate) fn end(outcome: ObservedOutcome) -> RequestEnd {
     RequestEnd {
         outcome,
         status: 200,
--- a/standins/history/tests/all/main.rs
+++ b/standins/history/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of histories and their checker.
+//! Tests of histories and of their checker.
 
 mod checker;
 mod content;
--- a/tests/matrix/src/requests/caller.rs
+++ b/tests/matrix/src/requests/caller.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lovagelatch_domain::RefusalReason;
-use lovagelatch_history::{AnswerFlaw, CallerRecord, RequestEnd, RequestKind, SeenOutcome};
+use lovagelatch_history::{CallerRecord, ObservedOutcome, RequestEnd, RequestKind, ResponseFlaw};
 
 use super::backend::millis;
 use super::job::{JobEnd, RunAnswer};
@@ -81,7 +81,7 @@
         }
         let filing = self.calls[index].filing;
         let mut seen = RequestEnd {
-            outcome: SeenOutcome::Unknown,
+            outcome: ObservedOutcome::Unknown,
             status: 0,
             flaw: None,
             answered_for: None,
@@ -91,7 +91,7 @@
         match end {
             JobEnd::Answered(body, whole) => self.read_answer(&mut seen, call, body, *whole),
             JobEnd::NotRun(reason, _) => {
-                seen.outcome = SeenOutcome::NotRun;
+                seen.outcome = ObservedOutcome::NotRun;
                 seen.reason = Some(format!("{reason:?}"));
             }
             JobEnd::Unknown => {}
@@ -113,23 +113,23 @@
         let Some(answer) = answer.filter(|_| whole) else {
             // The caller knows the length that was announced.
             seen.flaw = Some(match whole {
-                true => AnswerFlaw::CutClean,
-                false => AnswerFlaw::BrokeOff,
+                true => ResponseFlaw::CutClean,
+                false => ResponseFlaw::BrokeOff,
             });
             return;
         };
-        seen.outcome = SeenOutcome::Done;
+        seen.outcome = ObservedOutcome::Done;
         if answer.call != call {
             seen.answered_for = Some(answer.call.to_string());
         }
     }
 
     /// What a caller does about its filing after one try of it has ended.
-    fn go_on(&mut self, filing: u64, outcome: SeenOutcome, end: &JobEnd) {
+    fn go_on(&mut self, filing: u64, outcome: ObservedOutcome, end: &JobEnd) {
         let held = &mut self.filings[usize::try_from(filing).unwrap_or(0)];
         let pause = 50 + 70 * u64::from(held.tries);
         held.open -= 1;
-        held.done |= outcome == SeenOutcome::Done;
+        held.done |= outcome == ObservedOutcome::Done;
         let fresh = JobEnd::NotRun(RefusalReason::TicketNeeded, Duration::ZERO);
         held.needs_ticket |= *end == fresh;
         if held.done {
