--- a/standins/soak/src/check.rs
+++ b/standins/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers saw, and the promises over it.
+//! Checks the guarantees on what callers and backend servers observe.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
@@ -7,112 +7,114 @@
 
 use lovagelatch_flows::FlowKey;
 
-/// How long after its announcement a target may be given new flows, with the time that the soak's
-/// own threads may be late.
+/// Time after its announcement to leave in which a target may still receive new flows. Includes an
+/// allowance for scheduling delays of the soak's own threads.
 const LEAVING_GRACE: Duration = Duration::from_millis(3_500);
 
-/// How long after a disturbance its effects are excused: the users count machines as undisturbed
-/// after four seconds.
-const EXCUSE: Duration = Duration::from_secs(4);
+/// Time after a disturbance in which its effects are tolerated: the users count machines as
+/// undisturbed after four seconds.
+const DISTURBANCE_WINDOW: Duration = Duration::from_secs(4);
 
-/// How long a client may send on an open flow before one of its packets must reach the target. A
-/// balancer that dies is taken out of rotation after a second at the most.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
+/// Time within which one of the packets that a client sends on an open flow must reach the target.
+/// A balancer that is killed leaves the rotation within a second.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The number of one start of a target.
-pub type TargetStart = u32;
+/// Number of one start of a target, unique in the run.
+pub type StartNumber = u32;
 
-/// One thing that somebody saw.
+/// An observation that is recorded in the [`SoakLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakEvent {
-    /// A target took a flow's first packet; `allowed` says whether a configuration ever sent the
-    /// flow's address to its service.
+    /// A target received the first packet of a flow.
     Accepted {
-        /// The flow.
+        /// Flow of the packet.
         flow: FlowKey,
-        /// The target.
-        target: TargetStart,
-        /// See the variant.
+        /// Target that received it.
+        target: StartNumber,
+        /// Whether any configuration so far routed the flow's service address to the target's
+        /// service.
         allowed: bool,
     },
     /// A flow opened at a target.
     Opened {
-        /// The flow.
+        /// Flow that opened.
         flow: FlowKey,
-        /// The target.
-        target: TargetStart,
+        /// Target that holds it.
+        target: StartNumber,
     },
-    /// A target ended, or lost its flows.
-    Ended(TargetStart),
-    /// A target announced that it leaves.
-    Leaving(TargetStart),
-    /// A target, its agent or the way there is disturbed.
-    Disturbed(TargetStart),
-    /// Every target is.
-    AllDisturbed,
-    /// A balancer is: killed, or cut off from the store.
+    /// A target ended, and its flows with it.
+    TargetEnded(StartNumber),
+    /// A target announced that it is leaving.
+    TargetLeaving(StartNumber),
+    /// A target, its agent or the network path to them is disturbed.
+    TargetDisturbed(StartNumber),
+    /// All targets are disturbed.
+    AllTargetsDisturbed,
+    /// A balancer is disturbed: killed, or its connection to the store is.
     BalancerDisturbed(Ipv4Addr),
-    /// The store is.
+    /// The store is disturbed.
     StoreDisturbed,
-    /// A packet of an open flow reached its own target.
-    Reached(FlowKey),
-    /// A client has sent on an open flow since then, and nothing came back.
+    /// A packet of an open flow reached the target that holds the flow.
+    PacketReached(FlowKey),
+    /// A client sent a request on an open flow and received no response before its timeout.
     Silent {
-        /// The flow.
+        /// Flow of the request.
         flow: FlowKey,
-        /// When the client began to send.
+        /// Time of the client's first packet.
         since: Instant,
-        /// The balancer that its last packet went to.
+        /// Balancer that the client's last packet was sent to.
         balancer: Ipv4Addr,
     },
-    /// A client took a reset of its open flow that no target sent.
+    /// A client received a reset of its open flow, which no target sends.
     ResetOpen(FlowKey),
-    /// A client took a reset of a flow that had not opened.
-    ResetBefore(FlowKey),
-    /// A target began to run a request.
+    /// A client received a reset of a flow that was not open yet.
+    ResetBeforeOpen(FlowKey),
+    /// A target started a request.
     Ran {
-        /// The request; odd numbers may run once at most.
+        /// Request number. Odd numbers must run at most once.
         request: u64,
-        /// The flow it came on.
+        /// Flow that carried the request.
         flow: FlowKey,
     },
-    /// A client got a response; `own` says whether it was whole and its own.
+    /// A client received a response.
     Served {
-        /// The request.
+        /// Request number.
         request: u64,
-        /// See the variant.
+        /// Whether the response was complete and belonged to the request.
         own: bool,
     },
-    /// A client gave a request up.
+    /// A client gave up on a request.
     Failed(u64),
-    /// Everything has been calm for long enough: requests that begin now must be served.
-    Calm,
-    /// Something is wrong again.
-    Fault,
+    /// The fleet has had enough time to recover: requests must not fail from now on.
+    CalmStarted,
+    /// A fault was injected.
+    FaultInjected,
 }
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakFinding {
-    /// Which.
-    pub promise: &'static str,
-    /// What was seen.
+    /// Name of the guarantee.
+    pub guarantee: &'static str,
+    /// Event that violates it.
     pub event: SoakEvent,
-    /// When, in milliseconds from the start.
-    pub at: u64,
+    /// Time of the event, in milliseconds from the creation of the log.
+    pub at_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct LogState {
-    homes: HashMap<FlowKey, TargetStart>,
-    ended: HashMap<TargetStart, Instant>,
-    leaving: HashMap<TargetStart, Instant>,
-    disturbed: HashMap<TargetStart, Instant>,
-    all_disturbed: Option<Instant>,
-    balancers_disturbed: HashMap<Ipv4Addr, Instant>,
+    /// Target that each open flow belongs to.
+    flow_targets: HashMap<FlowKey, StartNumber>,
+    ended: HashMap<StartNumber, Instant>,
+    leaving: HashMap<StartNumber, Instant>,
+    disturbed_targets: HashMap<StartNumber, Instant>,
+    all_targets_disturbed: Option<Instant>,
+    disturbed_balancers: HashMap<Ipv4Addr, Instant>,
     store_disturbed: Option<Instant>,
-    /// When a packet last reached its flow's target.
+    /// Time at which a packet of each flow last reached the flow's target.
     reached: HashMap<FlowKey, Instant>,
+    /// Flows that were reset before they opened.
     refused: HashMap<FlowKey, Instant>,
     runs: HashMap<u64, u32>,
     calm: bool,
@@ -122,7 +124,7 @@
     counts: BTreeMap<&'static str, u64>,
 }
 
-/// Takes what everybody saw and judges it at once.
+/// Records the events of all threads and checks the guarantees on each event as it arrives.
 #[derive(Debug)]
 pub struct SoakLog {
     start: Instant,
@@ -136,7 +138,7 @@
 }
 
 impl SoakLog {
-    /// A log that begins now.
+    /// Creates an empty log that starts now.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -145,25 +147,29 @@
         }
     }
 
-    /// Takes one event.
-    pub fn note(&self, event: SoakEvent) {
+    /// Records an event and checks the guarantees on it.
+    pub fn record(&self, event: SoakEvent) {
         let now = Instant::now();
         let mut state = self.lock();
-        let broken = state.judge(event, now);
-        if let Some(promise) = broken {
-            let at = u64::try_from((now - self.start).as_millis()).unwrap_or(u64::MAX);
-            *state.counts.entry(promise).or_default() += 1;
-            state.findings.push(SoakFinding { promise, event, at });
+        let violated = state.check(event, now);
+        if let Some(guarantee) = violated {
+            let at_ms = u64::try_from((now - self.start).as_millis()).unwrap_or(u64::MAX);
+            *state.counts.entry(guarantee).or_default() += 1;
+            state.findings.push(SoakFinding {
+                guarantee,
+                event,
+                at_ms,
+            });
         }
     }
 
-    /// The broken promises so far.
+    /// Returns the violations so far.
     #[must_use]
     pub fn findings(&self) -> Vec<SoakFinding> {
         self.lock().findings.clone()
     }
 
-    /// Requests that were served and that failed.
+    /// Returns the number of requests served and of requests failed.
     #[must_use]
     pub fn outcomes(&self) -> (u64, u64) {
         let state = self.lock();
@@ -176,50 +182,50 @@
 }
 
 impl LogState {
-    /// Takes an event; the promise that it breaks, if any.
-    fn judge(&mut self, event: SoakEvent, now: Instant) -> Option<&'static str> {
+    /// Applies an event and returns the guarantee that it violates, if any.
+    fn check(&mut self, event: SoakEvent, now: Instant) -> Option<&'static str> {
         match event {
             SoakEvent::Accepted {
                 target, allowed, ..
             } => {
-                let said = self.leaving.get(&target);
-                let late = said.is_some_and(|said| now - *said > LEAVING_GRACE);
-                let excused = self.is_excused(target, now);
+                let announced = self.leaving.get(&target);
+                let late = announced.is_some_and(|announced| now - *announced > LEAVING_GRACE);
+                let tolerated = self.is_disturbed(target, now);
                 if !allowed {
                     return Some("wrong_service");
                 }
-                return (late && !excused).then_some("new_flow_after_leaving");
+                return (late && !tolerated).then_some("new_flow_after_leaving");
             }
             SoakEvent::Opened { flow, target } => {
-                self.homes.insert(flow, target);
+                self.flow_targets.insert(flow, target);
             }
-            SoakEvent::Ended(target) => {
+            SoakEvent::TargetEnded(target) => {
                 self.ended.insert(target, now);
             }
-            SoakEvent::Leaving(target) => {
+            SoakEvent::TargetLeaving(target) => {
                 self.leaving.entry(target).or_insert(now);
             }
-            SoakEvent::Disturbed(target) => {
-                self.disturbed.insert(target, now);
+            SoakEvent::TargetDisturbed(target) => {
+                self.disturbed_targets.insert(target, now);
             }
-            SoakEvent::AllDisturbed => self.all_disturbed = Some(now),
+            SoakEvent::AllTargetsDisturbed => self.all_targets_disturbed = Some(now),
             SoakEvent::BalancerDisturbed(balancer) => {
-                self.balancers_disturbed.insert(balancer, now);
+                self.disturbed_balancers.insert(balancer, now);
             }
             SoakEvent::StoreDisturbed => self.store_disturbed = Some(now),
-            SoakEvent::Reached(flow) => {
+            SoakEvent::PacketReached(flow) => {
                 self.reached.insert(flow, now);
             }
             SoakEvent::Silent {
                 flow,
                 since,
                 balancer,
-            } => return self.judge_silence(&flow, since, balancer, now),
-            SoakEvent::ResetOpen(flow) => return self.judge_reset(&flow, now),
-            SoakEvent::ResetBefore(flow) => {
+            } => return self.check_silence(&flow, since, balancer, now),
+            SoakEvent::ResetOpen(flow) => return self.check_reset(&flow, now),
+            SoakEvent::ResetBeforeOpen(flow) => {
                 self.refused.insert(flow, now);
             }
-            SoakEvent::Ran { request, flow } => return self.judge_run(request, &flow),
+            SoakEvent::Ran { request, flow } => return self.check_run(request, &flow),
             SoakEvent::Served { own, .. } => {
                 self.served += 1;
                 return (!own).then_some("not_its_own_answer");
@@ -228,39 +234,40 @@
                 self.failed += 1;
                 return self.calm.then_some("not_recovered");
             }
-            SoakEvent::Calm => self.calm = true,
-            SoakEvent::Fault => self.calm = false,
+            SoakEvent::CalmStarted => self.calm = true,
+            SoakEvent::FaultInjected => self.calm = false,
         }
         None
     }
 
-    fn judge_reset(&self, flow: &FlowKey, now: Instant) -> Option<&'static str> {
-        let home = self.homes.get(flow)?;
-        let lives = !self.ended.contains_key(home);
-        (lives && !self.is_excused(*home, now)).then_some("open_flow_reset")
+    fn check_reset(&self, flow: &FlowKey, now: Instant) -> Option<&'static str> {
+        let target = self.flow_targets.get(flow)?;
+        let alive = !self.ended.contains_key(target);
+        (alive && !self.is_disturbed(*target, now)).then_some("open_flow_reset")
     }
 
-    /// An open flow's packets must reach its target within [`SILENCE_LIMIT`], whichever balancer
-    /// takes them, unless the target, that balancer or the store was disturbed a moment ago.
-    fn judge_silence(
+    /// Checks that packets of an open flow reach its target within [`SILENCE_TIMEOUT`] through any
+    /// balancer, unless the target, that balancer or the store was disturbed within
+    /// [`DISTURBANCE_WINDOW`].
+    fn check_silence(
         &self,
         flow: &FlowKey,
         since: Instant,
         balancer: Ipv4Addr,
         now: Instant,
     ) -> Option<&'static str> {
-        let home = self.homes.get(flow)?;
+        let target = self.flow_targets.get(flow)?;
         let reached = self.reached.get(flow).is_some_and(|at| *at >= since);
-        let lives = !self.ended.contains_key(home);
-        let long = now.saturating_duration_since(since) >= SILENCE_LIMIT;
-        let recent = |at: &Instant| now.saturating_duration_since(*at) < EXCUSE;
-        let excused = self.is_excused(*home, now)
+        let alive = !self.ended.contains_key(target);
+        let timed_out = now.saturating_duration_since(since) >= SILENCE_TIMEOUT;
+        let recent = |at: &Instant| now.saturating_duration_since(*at) < DISTURBANCE_WINDOW;
+        let tolerated = self.is_disturbed(*target, now)
             || self.store_disturbed.as_ref().is_some_and(recent)
-            || self.balancers_disturbed.get(&balancer).is_some_and(recent);
-        (lives && long && !reached && !excused).then_some("open_flow_silent")
+            || self.disturbed_balancers.get(&balancer).is_some_and(recent);
+        (alive && timed_out && !reached && !tolerated).then_some("open_flow_silent")
     }
 
-    fn judge_run(&mut self, request: u64, flow: &FlowKey) -> Option<&'static str> {
+    fn check_run(&mut self, request: u64, flow: &FlowKey) -> Option<&'static str> {
         let runs = self.runs.entry(request).or_default();
         *runs += 1;
         if *runs > 1 && request % 2 == 1 {
@@ -269,9 +276,10 @@
         self.refused.contains_key(flow).then_some("refused_but_ran")
     }
 
-    fn is_excused(&self, target: TargetStart, now: Instant) -> bool {
-        let recent = |at: &Instant| now.saturating_duration_since(*at) < EXCUSE;
-        self.disturbed.get(&target).is_some_and(recent)
-            || self.all_disturbed.as_ref().is_some_and(recent)
+    /// Returns whether a target was disturbed within [`DISTURBANCE_WINDOW`].
+    fn is_disturbed(&self, target: StartNumber, now: Instant) -> bool {
+        let recent = |at: &Instant| now.saturating_duration_since(*at) < DISTURBANCE_WINDOW;
+        self.disturbed_targets.get(&target).is_some_and(recent)
+            || self.all_targets_disturbed.as_ref().is_some_and(recent)
     }
 }
--- a/standins/soak/src/client.rs
+++ b/standins/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: long flows with requests, and a flow for each request.
+//! Clients, which send their requests on long flows or on one flow for each request.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, UdpSocket};
@@ -11,55 +11,55 @@
 use lovagelatch_adapter_standin::encode_packet;
 use lovagelatch_flows::{FlowKey, FlowPacket, PacketFlags};
 
-use crate::addresses::PACKETS;
+use crate::addresses::PACKETS_PORT;
 use crate::check::{SoakEvent, SoakLog};
 use crate::router::Router;
-use crate::target::seal;
+use crate::target::response_check;
 
-/// When copies of a first packet are sent.
-const COPIES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
+/// Times at which a flow's first packet is retransmitted, from its first transmission.
+const OPENING_RETRANSMITS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 
-/// When a flow that did not open is given up.
-const OPEN_LIMIT: Duration = Duration::from_millis(1_400);
+/// Timeout for opening a flow.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// When a request is given up.
-const DEADLINE: Duration = Duration::from_millis(2_500);
+/// Timeout of a request, including its retries.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The first wait before a request's packet is sent again; doubles each time.
-const REPEAT: Duration = Duration::from_millis(200);
+/// Delay before a request's packet is retransmitted for the first time; doubles each time.
+const RETRANSMIT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Tries of a request beside the first.
-const RETRIES: u32 = 2;
+/// Maximum number of attempts of a request after the first.
+const MAX_RETRIES: u32 = 2;
 
 /// Pause between two requests.
-const PAUSE: Duration = Duration::from_millis(40);
+const REQUEST_PAUSE: Duration = Duration::from_millis(40);
 
-/// How far from the expected number a reset may be.
+/// Maximum distance of a reset's sequence number from the expected one.
 const RESET_WINDOW: u32 = 76_800;
 
-/// The longest that a flow is used.
-const FLOW_SPAN: Duration = Duration::from_secs(40);
+/// Age after which a flow is replaced.
+const MAX_FLOW_AGE: Duration = Duration::from_secs(40);
 
-/// What a client asks for.
+/// Parameters of a client.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientPlan {
     pub(crate) ip: Ipv4Addr,
     pub(crate) number: u8,
     pub(crate) service_address: SocketAddrV4,
-    /// Whether its requests may be run again.
+    /// Whether its requests may run more than once.
     pub(crate) idempotent: bool,
-    /// Whether it keeps a flow open for many requests.
+    /// Whether it sends many requests on one flow.
     pub(crate) long_flows: bool,
 }
 
-/// How an attempt ended.
-enum AttemptEnd {
+/// Outcome of an attempt.
+enum AttemptOutcome {
     Served,
-    /// The flow ended; whether it had opened.
+    /// The flow ended, or could not be opened.
     FlowEnded {
         opened: bool,
     },
-    TimeOver,
+    TimedOut,
 }
 
 struct Client {
@@ -68,19 +68,20 @@
     router: Router,
     log: Arc<SoakLog>,
     port: u16,
-    /// The open flow's number at its target, and since when it is open.
+    /// The open flow's initial sequence number at its target, and the time at which it opened.
     open: Option<(u32, Instant)>,
-    sent: u32,
+    /// Data bytes sent on the flow so far, which advance the sequence number.
+    sent_bytes: u32,
 }
 
-/// Starts a client that asks until `ended`.
-pub(crate) fn begin_client(
+/// Starts a client that sends requests until `shutdown` is set.
+pub(crate) fn spawn_client(
     plan: ClientPlan,
     router: Router,
     log: Arc<SoakLog>,
-    ended: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
 ) -> io::Result<JoinHandle<()>> {
-    let socket = UdpSocket::bind((plan.ip, PACKETS))?;
+    let socket = UdpSocket::bind((plan.ip, PACKETS_PORT))?;
     let mut client = Client {
         plan,
         socket,
@@ -88,16 +89,16 @@
         log,
         port: 1_024,
         open: None,
-        sent: 0,
+        sent_bytes: 0,
     };
     Ok(std::thread::spawn(move || {
         let first = u64::from(client.plan.number) * 1_000_000 + u64::from(!plan.idempotent);
         for request in (first..).step_by(2) {
-            if ended.load(Ordering::Relaxed) {
+            if shutdown.load(Ordering::Relaxed) {
                 return;
             }
-            client.ask(request);
-            std::thread::sleep(PAUSE);
+            client.run_request(request);
+            std::thread::sleep(REQUEST_PAUSE);
         }
     }))
 }
@@ -110,20 +111,20 @@
         }
     }
 
-    /// Makes one request with its retries.
-    fn ask(&mut self, request: u64) {
-        let until = Instant::now() + DEADLINE;
-        let old = self
+    /// Runs one request with its retries.
+    fn run_request(&mut self, request: u64) {
+        let until = Instant::now() + REQUEST_TIMEOUT;
+        let expired = self
             .open
-            .is_some_and(|(_, since)| since.elapsed() > FLOW_SPAN);
-        if !self.plan.long_flows || old {
+            .is_some_and(|(_, since)| since.elapsed() > MAX_FLOW_AGE);
+        if !self.plan.long_flows || expired {
             self.open = None;
         }
-        for _ in 0..=RETRIES {
+        for _ in 0..=MAX_RETRIES {
             match self.attempt(request, until) {
-                AttemptEnd::Served => return,
-                AttemptEnd::TimeOver => break,
-                AttemptEnd::FlowEnded { opened } => {
+                AttemptOutcome::Served => return,
+                AttemptOutcome::TimedOut => break,
+                AttemptOutcome::FlowEnded { opened } => {
                     self.open = None;
                     if opened && !self.plan.idempotent {
                         break;
@@ -132,52 +133,52 @@
             }
         }
         self.open = None;
-        self.log.note(SoakEvent::Failed(request));
+        self.log.record(SoakEvent::Failed(request));
     }
 
-    fn attempt(&mut self, request: u64, until: Instant) -> AttemptEnd {
+    fn attempt(&mut self, request: u64, until: Instant) -> AttemptOutcome {
         if self.open.is_none() && !self.open_flow(until) {
             if Instant::now() >= until {
-                return AttemptEnd::TimeOver;
+                return AttemptOutcome::TimedOut;
             }
-            return AttemptEnd::FlowEnded { opened: false };
+            return AttemptOutcome::FlowEnded { opened: false };
         }
         let Some((number, _)) = self.open else {
-            return AttemptEnd::FlowEnded { opened: false };
+            return AttemptOutcome::FlowEnded { opened: false };
         };
-        self.sent += 8;
+        self.sent_bytes += 8;
         let since = Instant::now();
-        let mut wait = REPEAT;
+        let mut backoff = RETRANSMIT_BACKOFF;
         loop {
             let balancer = self.send_request(request, number);
-            let next = (Instant::now() + wait).min(until);
-            wait *= 2;
+            let next = (Instant::now() + backoff).min(until);
+            backoff *= 2;
             while let Some((packet, data)) = self.receive(next) {
-                if let Some(end) = self.take(&packet, &data, request, number) {
-                    return end;
+                if let Some(outcome) = self.handle_packet(&packet, &data, request, number) {
+                    return outcome;
                 }
             }
             if Instant::now() >= until {
                 if let (Some(balancer), Some(_)) = (balancer, self.open) {
-                    self.log.note(SoakEvent::Silent {
+                    self.log.record(SoakEvent::Silent {
                         flow: self.flow(),
                         since,
                         balancer: *balancer.ip(),
                     });
                 }
-                return AttemptEnd::TimeOver;
+                return AttemptOutcome::TimedOut;
             }
         }
     }
 
-    /// Takes a packet of the open flow; the end of the attempt, if it is that.
-    fn take(
+    /// Handles a packet of the open flow. Returns the outcome of the attempt if the packet ends it.
+    fn handle_packet(
         &mut self,
         packet: &FlowPacket,
         data: &[u8],
         request: u64,
         number: u32,
-    ) -> Option<AttemptEnd> {
+    ) -> Option<AttemptOutcome> {
         if packet.flags.rst {
             let near = packet
                 .sequence
@@ -186,33 +187,40 @@
             if near > 2 * RESET_WINDOW {
                 return None;
             }
-            self.log.note(SoakEvent::ResetOpen(self.flow()));
-            return Some(AttemptEnd::FlowEnded { opened: true });
+            self.log.record(SoakEvent::ResetOpen(self.flow()));
+            return Some(AttemptOutcome::FlowEnded { opened: true });
         }
         let answered = read_number(data, 0)?;
         if packet.flags.fin {
             self.open = None;
         }
         if answered != request {
-            // A late copy of an earlier response on this flow.
+            // A delayed copy of an earlier response on this flow.
             return None;
         }
-        let own = read_number(data, 8) == Some(seal(request));
-        self.log.note(SoakEvent::Served { request, own });
-        Some(AttemptEnd::Served)
+        let own = read_number(data, 8) == Some(response_check(request));
+        self.log.record(SoakEvent::Served { request, own });
+        Some(AttemptOutcome::Served)
     }
 
     fn open_flow(&mut self, until: Instant) -> bool {
         self.port = self.port.checked_add(1).unwrap_or(1_024);
-        self.sent = 0;
+        self.sent_bytes = 0;
         let start = Instant::now();
-        for (copy, after) in (0..).zip([Duration::ZERO, COPIES[0], COPIES[1]]) {
+        for (copy, after) in (0..).zip([
+            Duration::ZERO,
+            OPENING_RETRANSMITS[0],
+            OPENING_RETRANSMITS[1],
+        ]) {
             debug_assert!(start.elapsed() + Duration::from_millis(50) >= after);
             self.send_opening(copy);
-            let next = COPIES.get(copy as usize).copied().unwrap_or(OPEN_LIMIT);
+            let next = OPENING_RETRANSMITS
+                .get(copy as usize)
+                .copied()
+                .unwrap_or(OPEN_TIMEOUT);
             while let Some((packet, _)) = self.receive((start + next).min(until)) {
                 if packet.flags.rst {
-                    self.log.note(SoakEvent::ResetBefore(self.flow()));
+                    self.log.record(SoakEvent::ResetBeforeOpen(self.flow()));
                     return false;
                 }
                 if packet.flags.syn {
@@ -221,21 +229,21 @@
                 }
             }
             if Instant::now() >= until {
-                // No time for a copy: one sent now would be early, as no client's is.
+                // A copy sent now would precede its scheduled time, which no real client does.
                 return false;
             }
         }
         false
     }
 
-    /// A packet of the present flow, before `until`.
+    /// Receives the next packet of the current flow. Returns `None` after `until`.
     fn receive(&self, until: Instant) -> Option<(FlowPacket, Vec<u8>)> {
         let mut buffer = [0; 2_048];
         loop {
-            let left = until.checked_duration_since(Instant::now())?;
-            let left = left.max(Duration::from_millis(1));
-            // A timeout of at least a millisecond is always valid.
-            let _set = self.socket.set_read_timeout(Some(left));
+            let timeout = until.checked_duration_since(Instant::now())?;
+            let timeout = timeout.max(Duration::from_millis(1));
+            // Fails only for a timeout of zero.
+            let _set = self.socket.set_read_timeout(Some(timeout));
             let Ok((length, _)) = self.socket.recv_from(&mut buffer) else {
                 continue;
             };
@@ -257,7 +265,7 @@
         self.send(flags, copy, &[]);
     }
 
-    /// Sends a request; the balancer that it went to.
+    /// Sends a request and returns the balancer that it was sent to.
     fn send_request(&self, request: u64, number: u32) -> Option<SocketAddrV4> {
         let flags = PacketFlags {
             ack: true,
@@ -270,14 +278,14 @@
         let packet = FlowPacket {
             flow: self.flow(),
             flags,
-            sequence: 1_000 + self.sent,
+            sequence: 1_000 + self.sent_bytes,
             acknowledged,
             data_bytes: u16::try_from(data.len()).unwrap_or(u16::MAX),
             tag: 0,
         };
         let balancer = self.router.choose(&packet.flow)?;
         let bytes = encode_packet(&packet, PacketSender::Client, data);
-        // A balancer that is down loses it.
+        // Lost if the balancer is down.
         let _sent = self.socket.send_to(&bytes, balancer);
         Some(balancer)
     }
--- a/standins/soak/src/fault.rs
+++ b/standins/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Which faults strike when: drawn from the seed, in series and overlapping.
+//! The schedule of faults, drawn from a seed. Faults may overlap.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,85 +8,85 @@
 use rand::{Rng, SeedableRng};
 use thiserror::Error;
 
-/// What goes wrong.
+/// A kind of fault. The names of the variants are the values of the option `--only`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakFault {
-    /// A balancer is killed and starts again.
+    /// Kills a balancer, which is started again.
     KillBalancer,
-    /// All of them are.
+    /// Kills all balancers, which are started again.
     KillBalancers,
-    /// A balancer is stopped in order and starts again.
+    /// Stops a balancer gracefully, which is started again.
     StopBalancer,
-    /// Balancers are stopped in order, one after the other.
+    /// Stops half of the balancers gracefully, which are started again.
     RollBalancers,
-    /// A balancer stands still.
+    /// Pauses a balancer.
     PauseBalancer,
-    /// An agent is killed and starts again beside its living target.
+    /// Kills an agent, which is started again beside its running target.
     KillAgent,
-    /// All agents are.
+    /// Kills all agents, which are started again.
     KillAgents,
-    /// An agent is stopped in order and starts again.
+    /// Stops an agent gracefully, which is started again.
     StopAgent,
-    /// Every second agent is stopped in order.
+    /// Stops every second agent gracefully, which are started again.
     RollAgents,
-    /// An agent stands still.
+    /// Pauses an agent.
     PauseAgent,
-    /// Every process and every target ends, as when power is lost.
+    /// Kills all processes and targets, as in a power failure.
     LosePower,
-    /// A target and its agent end without a word; another target starts there later.
+    /// Kills a target and its agent; another target starts there later.
     CrashTarget,
-    /// A target crashes and starts again beside its living agent.
+    /// Kills a target, which starts again under a new name beside its running agent.
     RestartTarget,
-    /// A target leaves in order; another one starts there later.
+    /// Makes a target announce that it is leaving, drain and end; another one starts there later.
     ReplaceTarget,
-    /// One of another service starts at a dead target's address.
+    /// Kills a target and its agent; a target of another service starts at the address later.
     ReuseAddress,
-    /// A machine is cut off from balancers, one way.
+    /// Drops all datagrams from balancers and other agents to a machine, but not those from it.
     CutMachine,
-    /// The way to a machine loses a third of the datagrams.
+    /// Drops a third of the datagrams to a machine.
     PoorWay,
-    /// A balancer's connections to the store go silent.
+    /// Makes a balancer's connections to the store hang.
     SilentStore,
-    /// They are reset.
+    /// Resets a balancer's connections to the store.
     ResetStore,
-    /// Its answers do not come back.
+    /// Drops the store's responses to a balancer.
     OneWayStore,
-    /// They are slow.
+    /// Delays a balancer's connections to the store.
     PoorStore,
-    /// The store turns everybody away.
+    /// Makes the store refuse all calls.
     StoreRefuses,
-    /// The store goes silent, and entries of living targets expire.
+    /// Makes the store hang, and expires the entries of running targets.
     StoreLapse,
-    /// The store drops its history.
+    /// Makes the store drop its history.
     StoreForgets,
-    /// An entry in the store becomes unreadable.
+    /// Makes the store's entry of a target unreadable.
     BadEntry,
-    /// The configuration changes.
+    /// Publishes a new version of the configuration.
     ChangeConfig,
-    /// A route goes to the other service and back.
+    /// Moves a route to the other service and back.
     MoveRoute,
-    /// Processes are told that their settings changed.
+    /// Sends SIGHUP to all processes, as after a change of their settings.
     HangUp,
-    /// A target crashes and starts again under its name, beside its living agent.
+    /// Kills a target, which starts again under the same name beside its running agent.
     RebornTarget,
-    /// The same, and its agent is killed.
+    /// Kills a target and its agent; the target starts again under the same name.
     RebornWithAgent,
-    /// Entries of another writer come; one of them stays.
+    /// Writes entries to the store that belong to no target, of which one stays.
     ForeignEntries,
 }
 
-/// Faults that came later. They are drawn by themselves, so that the plans of earlier seeds stay what
-/// they were.
-const FURTHER_FAULTS: [SoakFault; 3] = [
+/// Faults that [`SoakPlan::add_extra`] draws from. They are drawn separately, so that the seeds of
+/// earlier runs still give the same plans.
+const EXTRA_FAULTS: [SoakFault; 3] = [
     SoakFault::RebornTarget,
     SoakFault::RebornWithAgent,
     SoakFault::ForeignEntries,
 ];
 
-/// Faults that strike only where they are named, for the same reason.
-const NAMED_FAULTS: [SoakFault; 1] = [SoakFault::RollAgents];
+/// Faults that are injected only if `--only` names them, for the same reason.
+const EXPLICIT_FAULTS: [SoakFault; 1] = [SoakFault::RollAgents];
 
-/// Those that [`SoakPlan::draw`] draws from.
+/// Faults that [`SoakPlan::draw`] draws from.
 pub const SOAK_FAULTS: [SoakFault; 27] = [
     SoakFault::KillBalancer,
     SoakFault::KillBalancers,
@@ -117,65 +117,65 @@
     SoakFault::HangUp,
 ];
 
-/// No fault has this name.
+/// The name of a fault is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("no fault is named {0}")]
+#[error("unknown fault {0}")]
 pub struct UnknownFault(String);
 
 impl FromStr for SoakFault {
     type Err = UnknownFault;
 
     fn from_str(name: &str) -> Result<Self, UnknownFault> {
-        let faults = SOAK_FAULTS.into_iter().chain(FURTHER_FAULTS);
+        let faults = SOAK_FAULTS.into_iter().chain(EXTRA_FAULTS);
         faults
-            .chain(NAMED_FAULTS)
+            .chain(EXPLICIT_FAULTS)
             .find(|fault| format!("{fault:?}") == name)
             .ok_or_else(|| UnknownFault(name.to_owned()))
     }
 }
 
-/// One strike.
+/// A fault with its time and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SoakStrike {
-    /// When, from the start of the faults.
+pub struct ScheduledFault {
+    /// Time of the injection, from the start of the plan.
     pub at: Duration,
-    /// For how long.
-    pub lasts: Duration,
-    /// What.
+    /// Time from the injection until the fault is healed.
+    pub duration: Duration,
+    /// Kind of the fault.
     pub fault: SoakFault,
-    /// Draws whom it strikes.
-    pub draw: u32,
+    /// Random number that selects the affected balancer or machine.
+    pub selector: u32,
 }
 
-/// The strikes of one run, in order of time.
+/// The faults of one run, ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakPlan {
-    /// See the type.
-    pub strikes: Vec<SoakStrike>,
+    /// Faults, ordered by [`ScheduledFault::at`].
+    pub faults: Vec<ScheduledFault>,
 }
 
 impl SoakPlan {
-    /// A plan for `span` drawn from `seed`.
+    /// Draws a plan of `duration` from `seed`.
     #[must_use]
-    pub fn draw(seed: u64, span: Duration) -> Self {
-        Self::draw_of(&SOAK_FAULTS, seed, span)
+    pub fn draw(seed: u64, duration: Duration) -> Self {
+        Self::draw_from(&SOAK_FAULTS, seed, duration)
     }
 
-    /// A plan of these faults alone.
+    /// Draws a plan of `duration` that consists of these kinds of faults only.
     #[must_use]
-    pub fn draw_of(faults: &[SoakFault], seed: u64, span: Duration) -> Self {
+    pub fn draw_from(kinds: &[SoakFault], seed: u64, duration: Duration) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         let mut at = Duration::ZERO;
-        while at < span {
-            let fault = faults.choose(&mut rng).copied();
-            strikes.extend(fault.map(|fault| SoakStrike {
+        while at < duration {
+            let fault = kinds.choose(&mut rng).copied();
+            faults.extend(fault.map(|fault| ScheduledFault {
                 at,
-                lasts: Duration::from_millis(rng.random_range(300..3_000)),
+                duration: Duration::from_millis(rng.random_range(300..3_000)),
                 fault,
-                draw: rng.random(),
+                selector: rng.random(),
             }));
-            // Often at once, sometimes seconds apart.
+            // 30 % of the gaps are under 200 ms, so that faults coincide.
             let gap = if rng.random_bool(0.3) {
                 0..200
             } else {
@@ -183,23 +183,23 @@
             };
             at += Duration::from_millis(rng.random_range(gap));
         }
-        Self { strikes }
+        Self { faults }
     }
 
-    /// Adds strikes of the faults that came later, one each one to four seconds.
-    pub fn add_further(&mut self, seed: u64, span: Duration) {
+    /// Adds faults of the kinds that [`Self::draw`] leaves out, one every 1 to 4 s.
+    pub fn add_extra(&mut self, seed: u64, duration: Duration) {
         let mut rng = SmallRng::seed_from_u64(!seed);
         let mut at = Duration::from_millis(rng.random_range(0..1_000));
-        while at < span {
-            let fault = FURTHER_FAULTS.choose(&mut rng).copied();
-            self.strikes.extend(fault.map(|fault| SoakStrike {
+        while at < duration {
+            let fault = EXTRA_FAULTS.choose(&mut rng).copied();
+            self.faults.extend(fault.map(|fault| ScheduledFault {
                 at,
-                lasts: Duration::from_millis(rng.random_range(300..3_000)),
+                duration: Duration::from_millis(rng.random_range(300..3_000)),
                 fault,
-                draw: rng.random(),
+                selector: rng.random(),
             }));
             at += Duration::from_millis(rng.random_range(1_000..4_000));
         }
-        self.strikes.sort_by_key(|strike| strike.at);
+        self.faults.sort_by_key(|fault| fault.at);
     }
 }
--- a/standins/soak/src/fleet.rs
+++ b/standins/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet under test: processes, targets, and what stands between them.
+//! The fleet under test: processes, targets and the proxies between them.
 
 use std::fs;
 use std::io;
@@ -15,67 +15,72 @@
 use lovagelatch_domain::{ConfigRevision, ServiceName};
 use smallvec::smallvec;
 
-use crate::addresses::{APP, FRAMES, GOSSIP, OPERATIONS, OUTBOUND, PACKETS, READY, RunNetwork};
+use crate::addresses::{
+    APP_PORT, FRAMES_PORT, GOSSIP_PORT, OPERATIONS_PORT, OUTBOUND_PORT, PACKETS_PORT, READY_PORT,
+    RunNetwork,
+};
 use crate::check::{SoakEvent, SoakLog};
 use crate::process::SoakProcess;
-use crate::proxy::{ProxyControl, begin_datagram_proxy, begin_stream_proxy};
+use crate::proxy::{ProxyControl, spawn_datagram_proxy, spawn_stream_proxy};
 use crate::target::{AllowedRoutes, Target};
 
-/// Services: the first has two routes, the second one.
+/// Names of the services. Initially, the first has two routes and the second has one.
 const SERVICES: [&str; 2] = ["claims", "vault"];
 
-/// How long the entry of a dead target stays: three heartbeats.
-pub(crate) const EXPIRY: Duration = Duration::from_millis(3_600);
+/// Time for which the entry of a dead target stays in the store: three heartbeats.
+pub(crate) const ENTRY_TTL: Duration = Duration::from_millis(3_600);
 
 /// A balancer under test.
-pub(crate) struct BalancerUnit {
+pub(crate) struct TestBalancer {
     pub(crate) ip: Ipv4Addr,
     pub(crate) process: SoakProcess,
-    /// Its way to the store.
-    pub(crate) store: ProxyControl,
+    /// Proxy between the balancer and the store.
+    pub(crate) store_proxy: ProxyControl,
 }
 
-/// A machine under test: a target and the agent beside it.
-pub(crate) struct MachineUnit {
+/// A machine under test, with a target and the agent beside it.
+pub(crate) struct TestMachine {
     number: u8,
     ip: Ipv4Addr,
     pub(crate) service: u8,
     pub(crate) process: SoakProcess,
     pub(crate) target: Option<Target>,
-    /// The way of balancers and other agents to this agent.
-    pub(crate) way: ProxyControl,
-    /// The number in its entry's name: that of its target's first start under it.
+    /// Proxy through which balancers and other agents reach the agent.
+    pub(crate) agent_proxy: ProxyControl,
+    /// Number in the name of the target's store entry: that of the first start under this name.
     name: u32,
-    /// Whether its next target starts under the name that the last one had.
-    pub(crate) reborn: bool,
-    /// The entries of its dead targets, and when each expires.
+    /// Whether the next target starts under the name of the last one.
+    pub(crate) reuse_name: bool,
+    /// Entries of dead targets, with the time at which each expires.
     expiring: Vec<(TargetName, Instant)>,
 }
 
-/// Everything that a run starts.
+/// Everything that a run starts, except clients and routers.
 pub(crate) struct Fleet {
     pub(crate) network: RunNetwork,
     pub(crate) store: StoreStandin,
-    pub(crate) balancers: Vec<BalancerUnit>,
-    pub(crate) machines: Vec<MachineUnit>,
+    pub(crate) balancers: Vec<TestBalancer>,
+    pub(crate) machines: Vec<TestMachine>,
     pub(crate) log: Arc<SoakLog>,
     allowed: AllowedRoutes,
     directory: PathBuf,
     /// Whether processes are started with SIGHUP ignored.
-    ignores_hangup: bool,
+    ignore_hangup: bool,
+    /// Number of target starts so far.
     starts: u32,
+    /// Version of the last published configuration.
     version: u64,
-    /// The service of each route.
+    /// Index of the service of each route.
     pub(crate) routes: [u8; 3],
 }
 
 impl Fleet {
-    pub(crate) fn begin(
+    pub(crate) fn start(
         programs: &Path,
         directory: &Path,
         balancers: u8,
         machines: u8,
-        ignores_hangup: bool,
+        ignore_hangup: bool,
         log: Arc<SoakLog>,
     ) -> io::Result<Self> {
         let (network, store) = RunNetwork::claim(StoreStandin::start)?;
@@ -87,7 +92,7 @@
             log,
             allowed: Arc::new(Mutex::default()),
             directory: directory.to_owned(),
-            ignores_hangup,
+            ignore_hangup,
             starts: 0,
             version: 0,
             routes: [0, 0, 1],
@@ -105,35 +110,40 @@
     fn add_balancer(&mut self, programs: &Path, number: u8) -> io::Result<()> {
         let ip = self.network.balancer(number);
         let proxy = self.network.store_proxy(number);
-        let store = begin_stream_proxy(proxy, self.network.store())?;
+        let store_proxy = spawn_stream_proxy(proxy, self.network.store())?;
         let seeds = [0, 1].map(|seed| format!("{}:1", self.network.balancer(seed)));
-        let own = format!(
-            "[balancer]\ngossip = {ip}:{GOSSIP}\nseeds = {}\nstore = {proxy}\n",
+        let section = format!(
+            "[balancer]\ngossip = {ip}:{GOSSIP_PORT}\nseeds = {}\nstore = {proxy}\n",
             seeds.join(",")
         );
         let name = format!("balancer-{number}");
-        let mut process = self.new_process(programs, &name, "lovagelatch-balancer", ip, &own)?;
+        let mut process =
+            self.new_process(programs, &name, "lovagelatch-balancer", ip, &section)?;
         process.start()?;
-        self.balancers.push(BalancerUnit { ip, process, store });
+        self.balancers.push(TestBalancer {
+            ip,
+            process,
+            store_proxy,
+        });
         Ok(())
     }
 
     fn add_machine(&mut self, programs: &Path, number: u8) -> io::Result<()> {
-        // Two thirds of the targets are the first service's.
+        // Two thirds of the targets run the first service.
         let service = u8::from(number % 3 == 2);
         let ip = self.network.machine(number);
-        let proxy = SocketAddrV4::new(self.network.machine_proxy(number), FRAMES);
-        let way = begin_datagram_proxy(proxy, SocketAddrV4::new(ip, FRAMES))?;
+        let proxy = SocketAddrV4::new(self.network.machine_proxy(number), FRAMES_PORT);
+        let agent_proxy = spawn_datagram_proxy(proxy, SocketAddrV4::new(ip, FRAMES_PORT))?;
         let process = self.agent_process(programs, number, service, true)?;
-        self.machines.push(MachineUnit {
+        self.machines.push(TestMachine {
             number,
             ip,
             service,
             process,
             target: None,
-            way,
+            agent_proxy,
             name: 0,
-            reborn: false,
+            reuse_name: false,
             expiring: Vec::new(),
         });
         let at = self.machines.len() - 1;
@@ -146,19 +156,19 @@
         programs: &Path,
         number: u8,
         service: u8,
-        first: bool,
+        first_start: bool,
     ) -> io::Result<SoakProcess> {
         let ip = self.network.machine(number);
-        // Others know it by the proxy before it, as the store lists its target.
+        // The store lists the target under the address of the proxy, so the agent advertises it.
         let proxy = self.network.machine_proxy(number);
-        let own = format!(
-            "[agent]\nservice = {}\nbackend = {ip}:{APP}\noutbound = {ip}:{OUTBOUND}\n\
-             advertised = {proxy}:{FRAMES}\n\
-             first_start = {first}\n",
+        let section = format!(
+            "[agent]\nservice = {}\nbackend = {ip}:{APP_PORT}\noutbound = {ip}:{OUTBOUND_PORT}\n\
+             advertised = {proxy}:{FRAMES_PORT}\n\
+             first_start = {first_start}\n",
             SERVICES[usize::from(service)]
         );
         let name = format!("agent-{number}");
-        self.new_process(programs, &name, "lovagelatch-agent", ip, &own)
+        self.new_process(programs, &name, "lovagelatch-agent", ip, &section)
     }
 
     fn new_process(
@@ -167,22 +177,24 @@
         name: &str,
         program: &str,
         ip: Ipv4Addr,
-        own: &str,
+        section: &str,
     ) -> io::Result<SoakProcess> {
         let text = format!(
             "[process]\nname = {name}\nzone = hall-a\ntraffic = opaque\n\
-             [network]\nframes = {ip}:{FRAMES}\npackets = {ip}:{PACKETS}\nready = {ip}:{READY}\n\
-             operations = {ip}:{OPERATIONS}\n[limits]\nflow_lifetime_s = 60\nstop_s = 6\n{own}"
+             [network]\nframes = {ip}:{FRAMES_PORT}\npackets = {ip}:{PACKETS_PORT}\n\
+             ready = {ip}:{READY_PORT}\noperations = {ip}:{OPERATIONS_PORT}\n\
+             [limits]\nflow_lifetime_s = 60\nstop_s = 6\n{section}"
         );
         let settings = self.directory.join(format!("{name}.ini"));
         fs::write(&settings, text)?;
         let log = self.directory.join(format!("{name}.log"));
         let process = SoakProcess::new(programs.join(program), settings, log);
-        Ok(process.with_hangup_ignored(self.ignores_hangup))
+        Ok(process.with_hangup_ignored(self.ignore_hangup))
     }
 
-    /// An agent that starts again is not at the fleet's first start any more.
-    pub(crate) fn mark_restarted(&self) -> io::Result<()> {
+    /// Clears `first_start` in the agents' settings, because later starts are not the fleet's
+    /// first.
+    pub(crate) fn clear_first_start(&self) -> io::Result<()> {
         for machine in &self.machines {
             let path = self.directory.join(format!("agent-{}.ini", machine.number));
             let text = fs::read_to_string(&path)?;
@@ -194,7 +206,7 @@
         Ok(())
     }
 
-    /// From the next starts on, the machine's target and agent are of the other service.
+    /// Moves a machine to the other service, from the next starts of its target and agent on.
     pub(crate) fn change_service(&mut self, at: usize) -> io::Result<()> {
         let machine = &mut self.machines[at];
         let old = SERVICES[usize::from(machine.service)];
@@ -206,12 +218,12 @@
         fs::write(&path, text)
     }
 
-    /// Starts a target on a machine and registers it.
+    /// Starts a target on a machine and writes its store entry.
     pub(crate) fn start_target(&mut self, at: usize) -> io::Result<()> {
         self.starts += 1;
         let start = self.starts;
         let machine = &mut self.machines[at];
-        if std::mem::take(&mut machine.reborn) {
+        if std::mem::take(&mut machine.reuse_name) {
             let name = target_name(machine.name);
             machine.expiring.retain(|(expiring, _)| *expiring != name);
         } else {
@@ -219,53 +231,53 @@
         }
         let (ip, service) = (machine.ip, machine.service);
         let allowed = Arc::clone(&self.allowed);
-        let target = Target::begin(ip, start, service, allowed, Arc::clone(&self.log))?;
+        let target = Target::spawn(ip, start, service, allowed, Arc::clone(&self.log))?;
         machine.target = Some(target);
-        self.register(at, false);
+        self.write_entry(at, false);
         Ok(())
     }
 
-    /// Writes a target's entry.
-    pub(crate) fn register(&self, at: usize, leaving: bool) {
+    /// Writes a target's store entry.
+    pub(crate) fn write_entry(&self, at: usize, leaving: bool) {
         let machine = &self.machines[at];
         let Some(target) = &machine.target else {
             return;
         };
-        let reborn = machine.name != target.start;
+        let name_reused = machine.name != target.start;
         self.store.put_target(&PublishedTarget {
             name: target_name(machine.name),
             service: service_name(machine.service),
-            address: SocketAddrV4::new(self.network.machine_proxy(machine.number), APP),
-            zone: "hall-a".parse().expect("a zone"),
+            address: SocketAddrV4::new(self.network.machine_proxy(machine.number), APP_PORT),
+            zone: "hall-a".parse().expect("valid zone name"),
             slots: 8,
             leaving,
             warming_ms: 0,
-            start: TargetStart(if reborn { target.start.into() } else { 0 }),
+            start: TargetStart(if name_reused { target.start.into() } else { 0 }),
         });
     }
 
-    /// Writes a target's entry anew, as the target itself does with each heartbeat: one that has
-    /// announced that it leaves goes on saying so.
-    pub(crate) fn register_again(&self, at: usize) {
+    /// Writes a target's store entry again, as a target does with each heartbeat. The entry of a
+    /// leaving target still says that it is leaving.
+    pub(crate) fn rewrite_entry(&self, at: usize) {
         let target = self.machines[at].target.as_ref();
-        let leaving = target.is_some_and(|one| one.control.leaving.load(Ordering::Relaxed));
-        self.register(at, leaving);
+        let leaving = target.is_some_and(|target| target.control.leaving.load(Ordering::Relaxed));
+        self.write_entry(at, leaving);
     }
 
-    /// The name of a machine's target in the store.
+    /// Returns the name of a machine's target in the store.
     pub(crate) fn entry_name(&self, at: usize) -> TargetName {
         target_name(self.machines[at].name)
     }
 
-    /// Writes entries that are no target's: bytes that cannot be read, and one of a service that no
-    /// configuration names, at an address where nobody listens.
+    /// Writes two entries that belong to no target: a malformed one, and one of a service that is
+    /// not in any configuration, with an address on which nothing listens.
     pub(crate) fn write_foreign_entries(&self) {
         self.store.put_malformed(&foreign_name(1));
         self.store.put_target(&PublishedTarget {
             name: foreign_name(2),
-            service: "elsewhere".parse().expect("a service"),
+            service: "elsewhere".parse().expect("valid service name"),
             address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9),
-            zone: "hall-a".parse().expect("a zone"),
+            zone: "hall-a".parse().expect("valid zone name"),
             slots: 8,
             leaving: false,
             warming_ms: 0,
@@ -273,31 +285,31 @@
         });
     }
 
-    /// Removes the first of them; the other one stays.
+    /// Removes the malformed foreign entry; the other one stays.
     pub(crate) fn remove_foreign_entry(&self) {
         self.store.remove_target(&foreign_name(1));
     }
 
-    /// Ends a target at once; its entry expires later.
+    /// Ends a target at once. Its entry expires after [`ENTRY_TTL`].
     pub(crate) fn crash_target(&mut self, at: usize) {
         if let Some(mut target) = self.machines[at].target.take() {
-            target.end();
+            target.shut_down();
             let name = self.entry_name(at);
-            let expiry = Instant::now() + EXPIRY;
-            self.machines[at].expiring.push((name, expiry));
+            let expires_at = Instant::now() + ENTRY_TTL;
+            self.machines[at].expiring.push((name, expires_at));
         }
     }
 
-    /// Ends a target that left; its entry goes with it.
+    /// Ends a target after its drain, and removes its entry.
     pub(crate) fn retire_target(&mut self, at: usize) {
         if let Some(mut target) = self.machines[at].target.take() {
-            target.end();
+            target.shut_down();
             self.store.remove_target(&self.entry_name(at));
         }
     }
 
-    /// Removes the entries that have expired.
-    pub(crate) fn expire(&mut self) {
+    /// Removes the entries of dead targets that have expired.
+    pub(crate) fn remove_expired_entries(&mut self) {
         let now = Instant::now();
         for machine in &mut self.machines {
             for (name, _) in machine.expiring.extract_if(.., |(_, at)| *at <= now) {
@@ -306,7 +318,7 @@
         }
     }
 
-    /// Writes the configuration with the routes' present services.
+    /// Publishes a new version of the configuration with the current services of the routes.
     pub(crate) fn publish_routes(&mut self) {
         self.version += 1;
         let mut allowed = self.allowed.lock().expect("routes");
@@ -338,14 +350,14 @@
         self.store.put_config(&config);
     }
 
-    /// Notes that a machine is disturbed.
-    pub(crate) fn note_disturbed(&self, at: usize) {
+    /// Records that a machine is disturbed, if it has a target.
+    pub(crate) fn record_disturbed(&self, at: usize) {
         if let Some(target) = &self.machines[at].target {
-            self.log.note(SoakEvent::Disturbed(target.start));
+            self.log.record(SoakEvent::TargetDisturbed(target.start));
         }
     }
 
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn shut_down(&mut self) {
         self.store.set_mode(StoreMode::Serving);
         for balancer in &mut self.balancers {
             balancer.process.kill();
@@ -353,7 +365,7 @@
         for machine in &mut self.machines {
             machine.process.kill();
             if let Some(mut target) = machine.target.take() {
-                target.end();
+                target.shut_down();
             }
         }
     }
@@ -368,5 +380,7 @@
 }
 
 fn service_name(service: u8) -> ServiceName {
-    SERVICES[usize::from(service)].parse().expect("a service")
+    SERVICES[usize::from(service)]
+        .parse()
+        .expect("valid service name")
 }
--- a/standins/soak/src/lib.rs
+++ b/standins/soak/src/lib.rs
@@ -1,9 +1,9 @@
 //! A randomized fault soak of the real programs on opaque packets.
 //!
-//! It starts balancers and agents as separate processes, each on a loopback address of its own,
-//! plays callers, backend servers, routers and the store itself, and breaks things from outside:
-//! processes by signals, the way to the store and between processes by proxies. What callers and
-//! backend servers see is checked while it runs.
+//! The soak starts balancers and agents as separate processes, each on a loopback address of its
+//! own. It provides the callers, backend servers, routers and the store itself. Faults are injected
+//! from outside: processes receive signals, and proxies disturb the connections to the store and
+//! between processes. The observations of callers and backend servers are checked during the run.
 //!
 //! ```text
 //! clients --UDP--> balancers --UDP--> [proxy] --UDP--> agents --UDP--> targets
@@ -12,7 +12,7 @@
 //!    +----------------------------------------------------+
 //! ```
 //!
-//! Only processes that the soak itself started are ever ended, by their numbers.
+//! The soak signals only processes that it started, by their process ids.
 
 mod addresses;
 mod check;
@@ -26,6 +26,6 @@
 mod target;
 
 pub use addresses::RunNetwork;
-pub use check::{SoakEvent, SoakFinding, SoakLog, TargetStart};
-pub use fault::{SOAK_FAULTS, SoakFault, SoakPlan, SoakStrike};
+pub use check::{SoakEvent, SoakFinding, SoakLog, StartNumber};
+pub use fault::{SOAK_FAULTS, ScheduledFault, SoakFault, SoakPlan};
 pub use run::{SoakError, SoakReport, SoakSettings, run_soak};
--- a/standins/soak/src/process.rs
+++ b/standins/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One of the system's processes.
+//! Processes under test.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -7,44 +7,44 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long a process that was told to stop may take before it is killed.
-const STOP_LIMIT: Duration = Duration::from_secs(7);
+/// Time that a graceful stop may take before the process is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(7);
 
-/// A process that the soak started. Only its own number is ever signalled, and only while it has
+/// A process started by the soak. Signals go only to the process's own id, and only while it has
 /// not been waited for.
 #[derive(Debug)]
 pub(crate) struct SoakProcess {
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
-    /// Whether it is started with SIGHUP ignored.
-    ignores_hangup: bool,
+    /// Whether the process is started with SIGHUP ignored.
+    ignore_hangup: bool,
     child: Option<Child>,
-    /// Whether it was told to stop, and until when it may take.
-    stopping: Option<Instant>,
+    /// Set while the process is told to stop, until its next start. It is killed at this time.
+    stop_deadline: Option<Instant>,
     pub(crate) paused: bool,
-    /// Times that it ended by itself.
-    pub(crate) own_ends: u32,
+    /// Number of exits that the soak did not cause.
+    pub(crate) unexpected_exits: u32,
 }
 
 impl SoakProcess {
-    /// A process that is not running yet.
+    /// Creates a process without starting it.
     pub(crate) fn new(program: PathBuf, settings: PathBuf, log: PathBuf) -> Self {
         Self {
             program,
             settings,
             log,
-            ignores_hangup: false,
+            ignore_hangup: false,
             child: None,
-            stopping: None,
+            stop_deadline: None,
             paused: false,
-            own_ends: 0,
+            unexpected_exits: 0,
         }
     }
 
-    /// The same, started with SIGHUP ignored if `ignores` says so.
-    pub(crate) fn with_hangup_ignored(mut self, ignores: bool) -> Self {
-        self.ignores_hangup = ignores;
+    /// Sets whether the process is started with SIGHUP ignored.
+    pub(crate) fn with_hangup_ignored(mut self, ignore: bool) -> Self {
+        self.ignore_hangup = ignore;
         self
     }
 
@@ -54,7 +54,7 @@
         command.arg("--settings").arg(&self.settings);
         command.stdin(Stdio::null());
         command.stdout(log.try_clone()?).stderr(log);
-        if self.ignores_hangup {
+        if self.ignore_hangup {
             // SAFETY: only a signal's disposition is set between fork and exec.
             unsafe {
                 command.pre_exec(|| {
@@ -64,7 +64,7 @@
             }
         }
         self.child = Some(command.spawn()?);
-        self.stopping = None;
+        self.stop_deadline = None;
         self.paused = false;
         Ok(())
     }
@@ -73,9 +73,12 @@
         self.child.is_some()
     }
 
-    /// Looks whether it has ended; kills it when its stop takes too long.
-    pub(crate) fn look(&mut self) {
-        if self.stopping.is_some_and(|until| Instant::now() > until) {
+    /// Checks whether the process has exited. Kills it if its stop has timed out.
+    pub(crate) fn check_exit(&mut self) {
+        if self
+            .stop_deadline
+            .is_some_and(|until| Instant::now() > until)
+        {
             self.signal(libc::SIGKILL);
         }
         let Some(child) = &mut self.child else {
@@ -83,31 +86,31 @@
         };
         if let Ok(Some(status)) = child.try_wait() {
             self.child = None;
-            if self.stopping.is_none() {
-                self.own_ends += 1;
-                // Its own log may end without a word, as when a signal ended it.
-                eprintln!("{} ended by itself: {status}", self.settings.display());
+            if self.stop_deadline.is_none() {
+                self.unexpected_exits += 1;
+                // The log of the process may not show it, for example after a fatal signal.
+                eprintln!("{} exited unexpectedly: {status}", self.settings.display());
             }
         }
     }
 
-    /// Whether it was told to stop and has not been started since.
+    /// Returns whether the process was told to stop and has not been started since.
     pub(crate) fn is_stopping(&self) -> bool {
-        self.stopping.is_some()
+        self.stop_deadline.is_some()
     }
 
     pub(crate) fn kill(&mut self) {
         self.signal(libc::SIGKILL);
-        self.stopping = None;
+        self.stop_deadline = None;
         if let Some(mut child) = self.child.take() {
-            // It cannot refuse.
+            // SIGKILL cannot be caught, so this returns soon.
             let _status = child.wait();
         }
         self.paused = false;
     }
 
     pub(crate) fn stop(&mut self) {
-        self.stopping = Some(Instant::now() + STOP_LIMIT);
+        self.stop_deadline = Some(Instant::now() + STOP_TIMEOUT);
         self.signal(libc::SIGTERM);
     }
 
@@ -121,8 +124,8 @@
         self.signal(libc::SIGCONT);
     }
 
-    /// Tells it that its settings have changed.
-    pub(crate) fn hang_up(&self) {
+    /// Sends SIGHUP, which makes the process reload its settings.
+    pub(crate) fn send_hangup(&self) {
         self.signal(libc::SIGHUP);
     }
 
@@ -131,7 +134,7 @@
             return;
         };
         if let Ok(number) = libc::pid_t::try_from(child.id()) {
-            // SAFETY: the child has not been waited for, so the number is its own.
+            // SAFETY: the child has not been waited for, so its id has not been reused.
             unsafe {
                 libc::kill(number, signal);
             }
--- a/standins/soak/src/proxy.rs
+++ b/standins/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies on the loopback network: what goes wrong between processes.
+//! Proxies on the loopback network, which inject faults between processes.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddrV4, TcpListener, TcpStream, UdpSocket};
@@ -8,34 +8,34 @@
 
 use rand::Rng;
 
-/// What a proxy does.
+/// How a proxy treats traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProxyMode {
-    /// Passes everything on.
-    Open,
-    /// Passes nothing on; open connections hang.
-    Silent,
-    /// Loses every third datagram; delays connections by 300 ms.
-    Poor,
+    /// Forwards everything.
+    Forward,
+    /// Forwards nothing; open connections hang.
+    Blackhole,
+    /// Drops a third of the datagrams at random; delays the data of connections by 300 ms.
+    Degraded,
     /// Resets connections.
     Reset,
-    /// Passes what the client sends, and no answer.
+    /// Forwards what the client sends, but no responses.
     OneWay,
 }
 
 impl ProxyMode {
     fn from_number(number: u8) -> Self {
         match number {
-            1 => Self::Silent,
-            2 => Self::Poor,
+            1 => Self::Blackhole,
+            2 => Self::Degraded,
             3 => Self::Reset,
             4 => Self::OneWay,
-            _ => Self::Open,
+            _ => Self::Forward,
         }
     }
 }
 
-/// How a proxy is told what to do.
+/// Sets the mode of a running proxy. Clones control the same proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProxyControl(Arc<AtomicU8>);
 
@@ -49,33 +49,33 @@
     }
 }
 
-/// How often a proxy that passes nothing on looks again.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which an idle connection checks the mode.
+const MODE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The delay of a poor connection.
-const DELAY: Duration = Duration::from_millis(300);
+/// Delay of each read from a degraded connection.
+const DEGRADED_DELAY: Duration = Duration::from_millis(300);
 
-/// Passes datagrams from `listen` on to `to`; for the life of the process.
-pub(crate) fn begin_datagram_proxy(
+/// Starts a proxy that forwards datagrams from `listen` to `to` until the process ends.
+pub(crate) fn spawn_datagram_proxy(
     listen: SocketAddrV4,
     to: SocketAddrV4,
 ) -> io::Result<ProxyControl> {
     let socket = UdpSocket::bind(listen)?;
     let control = ProxyControl::default();
-    let told = control.clone();
+    let proxy_control = control.clone();
     std::thread::spawn(move || {
         let mut buffer = [0; 4_096];
         loop {
             let Ok((length, _)) = socket.recv_from(&mut buffer) else {
                 continue;
             };
-            let lost = match told.mode() {
-                ProxyMode::Open => false,
-                ProxyMode::Poor => rand::rng().random_ratio(1, 3),
-                ProxyMode::Silent | ProxyMode::Reset | ProxyMode::OneWay => true,
+            let dropped = match proxy_control.mode() {
+                ProxyMode::Forward => false,
+                ProxyMode::Degraded => rand::rng().random_ratio(1, 3),
+                ProxyMode::Blackhole | ProxyMode::Reset | ProxyMode::OneWay => true,
             };
-            if !lost {
-                // A receiver that is down loses it.
+            if !dropped {
+                // Lost if the receiver is down.
                 let _sent = socket.send_to(&buffer[..length], to);
             }
         }
@@ -83,25 +83,25 @@
     Ok(control)
 }
 
-/// Passes connections to `listen` on to `to`; for the life of the process.
-pub(crate) fn begin_stream_proxy(
+/// Starts a proxy that relays connections from `listen` to `to` until the process ends.
+pub(crate) fn spawn_stream_proxy(
     listen: SocketAddrV4,
     to: SocketAddrV4,
 ) -> io::Result<ProxyControl> {
     let listener = TcpListener::bind(listen)?;
     let control = ProxyControl::default();
-    let told = control.clone();
+    let proxy_control = control.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let told = told.clone();
-            std::thread::spawn(move || join(&stream, to, &told));
+            let connection_control = proxy_control.clone();
+            std::thread::spawn(move || relay_connection(&stream, to, &connection_control));
         }
     });
     Ok(control)
 }
 
-/// Carries one connection. Errors end it, which is all that either end needs to see.
-fn join(client: &TcpStream, to: SocketAddrV4, control: &ProxyControl) {
+/// Relays one connection. An error closes it, which is all that the two ends need to see.
+fn relay_connection(client: &TcpStream, to: SocketAddrV4, control: &ProxyControl) {
     if control.mode() == ProxyMode::Reset {
         return;
     }
@@ -114,16 +114,18 @@
     let (Ok(from_server), Ok(to_server)) = (server.try_clone(), server.try_clone()) else {
         return;
     };
-    let back = control.clone();
-    let answers = std::thread::spawn(move || pump(from_server, to_client, &back, true));
-    pump(from_client, to_server, control, false);
-    // Ended by the pump above or by its own end.
-    let _ended = answers.join();
+    let response_control = control.clone();
+    let responses = std::thread::spawn(move || {
+        copy_stream(from_server, to_client, &response_control, true);
+    });
+    copy_stream(from_client, to_server, control, false);
+    // The copy above shuts both streams down, which ends this thread if it still runs.
+    let _ended = responses.join();
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, control: &ProxyControl, answers: bool) {
+fn copy_stream(mut from: TcpStream, mut to: TcpStream, control: &ProxyControl, responses: bool) {
     let mut buffer = [0; 16 * 1024];
-    let _set = from.set_read_timeout(Some(LOOK));
+    let _set = from.set_read_timeout(Some(MODE_CHECK_INTERVAL));
     loop {
         let count = match from.read(&mut buffer) {
             Ok(0) => break,
@@ -132,12 +134,12 @@
             Err(_) => break,
         };
         match control.mode() {
-            ProxyMode::Open => {}
-            ProxyMode::Poor => std::thread::sleep(DELAY),
+            ProxyMode::Forward => {}
+            ProxyMode::Degraded => std::thread::sleep(DEGRADED_DELAY),
             ProxyMode::Reset => break,
-            // What went in while it was silent is lost for good.
-            ProxyMode::Silent => continue,
-            ProxyMode::OneWay if answers => continue,
+            // The data is dropped, not sent later.
+            ProxyMode::Blackhole => continue,
+            ProxyMode::OneWay if responses => continue,
             ProxyMode::OneWay => {}
         }
         if to.write_all(&buffer[..count]).is_err() {
--- a/standins/soak/src/router.rs
+++ b/standins/soak/src/router.rs
@@ -1,4 +1,4 @@
-//! Routers: which balancer a flow's packets go to.
+//! Routers, which choose the balancer for each flow's packets.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
@@ -9,48 +9,50 @@
 use lovagelatch_adapter::READY_PATH;
 use lovagelatch_flows::FlowKey;
 
-use crate::addresses::{PACKETS, READY};
+use crate::addresses::{PACKETS_PORT, READY_PORT};
 
-/// Time between two polls of a balancer.
-const POLL: Duration = Duration::from_millis(500);
+/// Interval between two polls of a balancer.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a poll may take.
-const POLL_LIMIT: Duration = Duration::from_millis(200);
+/// Timeout of a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A balancer is out of rotation after so many misses.
-const MISSES: u32 = 2;
+/// Number of consecutive failed polls after which a balancer is taken out of rotation.
+const MAX_FAILED_POLLS: u32 = 2;
 
 /// Polls balancers and hashes flows over those that are ready.
 #[derive(Clone, Debug)]
 pub(crate) struct Router {
     ready: Arc<RwLock<Vec<Ipv4Addr>>>,
-    /// Whether a change of the rotation moves nearly all flows.
+    /// Whether flows are hashed by modulo, so that a change of the rotation moves nearly all of
+    /// them. Otherwise rendezvous hashing is used.
     modulo: bool,
 }
 
 impl Router {
-    /// Routers before these balancers; polls until `ended`.
-    pub(crate) fn begin(balancers: Vec<Ipv4Addr>, modulo: bool, ended: Arc<AtomicBool>) -> Self {
+    /// Creates a router for these balancers and polls them in the background until `shutdown` is
+    /// set.
+    pub(crate) fn spawn(balancers: Vec<Ipv4Addr>, modulo: bool, shutdown: Arc<AtomicBool>) -> Self {
         let router = Self {
             ready: Arc::default(),
             modulo,
         };
         for balancer in balancers {
             let router = router.clone();
-            let ended = Arc::clone(&ended);
+            let shutdown = Arc::clone(&shutdown);
             std::thread::spawn(move || {
-                let mut misses = MISSES;
-                while !ended.load(Ordering::Relaxed) {
-                    misses = if is_ready(balancer) { 0 } else { misses + 1 };
-                    router.set(balancer, misses < MISSES);
-                    std::thread::sleep(POLL);
+                let mut failed = MAX_FAILED_POLLS;
+                while !shutdown.load(Ordering::Relaxed) {
+                    failed = if is_ready(balancer) { 0 } else { failed + 1 };
+                    router.set_ready(balancer, failed < MAX_FAILED_POLLS);
+                    std::thread::sleep(POLL_INTERVAL);
                 }
             });
         }
         router
     }
 
-    fn set(&self, balancer: Ipv4Addr, ready: bool) {
+    fn set_ready(&self, balancer: Ipv4Addr, ready: bool) {
         let mut list = self.ready.write().expect("rotation");
         match (list.binary_search(&balancer), ready) {
             (Err(at), true) => list.insert(at, balancer),
@@ -61,12 +63,12 @@
         }
     }
 
-    /// How many balancers are in rotation.
+    /// Returns the number of balancers in rotation.
     pub(crate) fn ready_count(&self) -> usize {
         self.ready.read().expect("rotation").len()
     }
 
-    /// Where a flow's packet goes now.
+    /// Chooses the balancer for the next packet of a flow. Returns `None` if none is ready.
     pub(crate) fn choose(&self, flow: &FlowKey) -> Option<SocketAddrV4> {
         let list = self.ready.read().expect("rotation");
         let point = flow.point();
@@ -79,20 +81,20 @@
                 mixed.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 16
             })
         };
-        chosen.map(|ip| SocketAddrV4::new(*ip, PACKETS))
+        chosen.map(|ip| SocketAddrV4::new(*ip, PACKETS_PORT))
     }
 }
 
 fn is_ready(balancer: Ipv4Addr) -> bool {
-    let address = SocketAddr::from((balancer, READY));
-    let Ok(mut stream) = TcpStream::connect_timeout(&address, POLL_LIMIT) else {
+    let address = SocketAddr::from((balancer, READY_PORT));
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, POLL_TIMEOUT) else {
         return false;
     };
     let request = format!("GET {READY_PATH} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    let mut answer = [0; 12];
+    let mut response = [0; 12];
     let exchange = stream
-        .set_read_timeout(Some(POLL_LIMIT))
+        .set_read_timeout(Some(POLL_TIMEOUT))
         .and_then(|()| stream.write_all(request.as_bytes()))
-        .and_then(|()| stream.read_exact(&mut answer));
-    exchange.is_ok() && answer.ends_with(b"200")
+        .and_then(|()| stream.read_exact(&mut response));
+    exchange.is_ok() && response.ends_with(b"200")
 }
--- a/standins/soak/src/run.rs
+++ b/standins/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: start, strike, heal, judge.
+//! One run: starts the fleet, injects and heals faults, and reports the violations.
 
 use std::io;
 use std::path::PathBuf;
@@ -11,104 +11,108 @@
 use thiserror::Error;
 
 use crate::addresses::RunNetwork;
-use crate::check::{SoakEvent, SoakFinding, SoakLog};
-use crate::client::{ClientPlan, begin_client};
-use crate::fault::{SoakFault, SoakPlan, SoakStrike};
-use crate::fleet::{BalancerUnit, Fleet, MachineUnit};
+use crate::check::{SoakEvent, SoakFinding, SoakLog, StartNumber};
+use crate::client::{ClientPlan, spawn_client};
+use crate::fault::{ScheduledFault, SoakFault, SoakPlan};
+use crate::fleet::{Fleet, TestBalancer, TestMachine};
 use crate::proxy::ProxyMode;
 use crate::router::Router;
 
-/// How long the fleet may take to be ready.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+/// Time within which all balancers must become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between two looks at processes and strikes.
-const STEP: Duration = Duration::from_millis(20);
+/// Interval at which processes and due actions are checked.
+const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Calm before the faults begin, so that flows are open.
-const WARM_UP: Duration = Duration::from_secs(2);
+/// Time from the start of the clients to the first fault, in which long flows open.
+const WARMUP_TIME: Duration = Duration::from_secs(2);
 
-/// How long after the last fault everything must be served: the longest is a target's expiry.
-const HEAL_SPAN: Duration = Duration::from_secs(8);
+/// Time after the last fault within which the fleet must recover. The slowest part is the expiry of
+/// a dead target's entry.
+const RECOVERY_TIME: Duration = Duration::from_secs(8);
 
-/// How long the calm at the end lasts.
-const CALM_SPAN: Duration = Duration::from_secs(4);
+/// Time at the end of a run in which no request may fail.
+const CALM_TIME: Duration = Duration::from_secs(4);
 
-/// How long a leaving target stays.
-const DRAIN: Duration = Duration::from_secs(5);
+/// Time from a target's announcement to leave until it ends.
+const DRAIN_TIME: Duration = Duration::from_secs(5);
 
-/// How long after its end a balancer starts again.
-const BALANCER_RESTART: Duration = Duration::from_millis(300);
+/// Delay from a balancer's exit until it is started again.
+const BALANCER_RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Time from a retired target's end to the start of the next one at its place.
-const REPLACEMENT: Duration = Duration::from_millis(300);
+/// Delay from the end of a drained target until its replacement starts.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(300);
 
-/// Requests that a run must serve at the least, or it did not test anything.
+/// Minimum number of served requests; with fewer, the run has not tested anything.
 const MIN_SERVED: u64 = 100;
 
-/// What a run is told.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct SoakSettings {
-    /// Draws the faults.
+    /// Seed from which the faults are drawn. Its parity selects the routers' hashing.
     pub seed: u64,
-    /// How long faults strike.
-    pub span: Duration,
-    /// Processes in all, balancers and agents.
+    /// Time in which faults are injected.
+    pub fault_duration: Duration,
+    /// Number of processes, balancers and agents together. At least two balancers and six agents
+    /// are started.
     pub processes: u8,
-    /// Whether the faults that came later strike as well.
-    pub further: bool,
-    /// Whether processes are started with SIGHUP ignored, as by a supervisor that may signal them at any time.
-    pub ignores_hangup: bool,
-    /// The faults that strike; all where none is named.
+    /// Whether the plan includes [`SoakPlan::add_extra`].
+    pub extra_faults: bool,
+    /// Whether processes are started with SIGHUP ignored, as by a supervisor that may send SIGHUP
+    /// at any time.
+    pub ignore_hangup: bool,
+    /// Kinds of faults to inject; if empty, those of [`SOAK_FAULTS`](crate::SOAK_FAULTS).
     pub only: Vec<SoakFault>,
-    /// How long after its end an agent starts again.
+    /// Delay from an agent's exit until it is started again.
     pub agent_restart: Duration,
-    /// Where the programs are.
+    /// Directory of the programs.
     pub programs: PathBuf,
-    /// Where settings and logs of the processes go.
+    /// Directory for settings and logs of the processes. It is created if missing.
     pub directory: PathBuf,
 }
 
-/// Why a run could not be made.
+/// Error that prevents a run.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// The operating system refused something.
+    /// A call to the operating system failed.
     #[error("operating system: {0}")]
     System(#[from] io::Error),
-    /// The fleet did not become ready.
-    #[error("{ready} of {wanted} balancers were ready in time")]
+    /// Not all balancers became ready in time.
+    #[error("timed out waiting for balancers: {ready} of {wanted} are ready")]
     NotReady {
-        /// How many were.
+        /// Number of ready balancers.
         ready: usize,
-        /// How many there are.
+        /// Number of balancers in the fleet.
         wanted: usize,
     },
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Broken promises.
+    /// Violated guarantees.
     pub findings: Vec<SoakFinding>,
-    /// Requests served.
+    /// Number of requests served.
     pub served: u64,
-    /// Requests given up.
+    /// Number of requests given up.
     pub failed: u64,
-    /// Faults that struck.
-    pub strikes: usize,
-    /// Processes that ended by themselves.
-    pub own_ends: u32,
-    /// Clients that panicked: what they would have seen is not known.
-    pub lost_clients: usize,
-    /// Calls to the store.
+    /// Number of faults injected.
+    pub injected_faults: usize,
+    /// Number of process exits that the soak did not cause.
+    pub unexpected_exits: u32,
+    /// Number of clients that panicked, whose observations are incomplete.
+    pub panicked_clients: usize,
+    /// Number of calls to the store.
     pub store_calls: u64,
 }
 
 impl SoakReport {
-    /// Whether every promise was kept.
+    /// Returns whether no guarantee was violated and the run is conclusive: no process exited
+    /// unexpectedly, no client panicked and enough requests were served.
     #[must_use]
     pub fn is_sound(&self) -> bool {
-        let whole = self.own_ends == 0 && self.lost_clients == 0;
-        self.findings.is_empty() && whole && self.served >= MIN_SERVED
+        let complete = self.unexpected_exits == 0 && self.panicked_clients == 0;
+        self.findings.is_empty() && complete && self.served >= MIN_SERVED
     }
 }
 
@@ -116,78 +120,79 @@
 ///
 /// # Errors
 ///
-/// A [`SoakError`] when the fleet could not be started.
+/// Returns a [`SoakError`] if the fleet cannot be started or controlled.
 pub fn run_soak(settings: &SoakSettings) -> Result<SoakReport, SoakError> {
     std::fs::create_dir_all(&settings.directory)?;
-    let mut run = SoakRun::begin(settings)?;
+    let mut run = SoakRun::start(settings)?;
     run.wait_ready()?;
-    run.fleet.mark_restarted()?;
+    run.fleet.clear_first_start()?;
     run.start_clients()?;
-    run.pass(WARM_UP)?;
+    run.run_for(WARMUP_TIME)?;
     let mut plan = if settings.only.is_empty() {
-        SoakPlan::draw(settings.seed, settings.span)
+        SoakPlan::draw(settings.seed, settings.fault_duration)
     } else {
-        SoakPlan::draw_of(&settings.only, settings.seed, settings.span)
+        SoakPlan::draw_from(&settings.only, settings.seed, settings.fault_duration)
     };
-    if settings.further {
-        plan.add_further(settings.seed, settings.span);
+    if settings.extra_faults {
+        plan.add_extra(settings.seed, settings.fault_duration);
     }
-    run.strike_all(&plan)?;
-    run.pass(HEAL_SPAN)?;
-    run.log.note(SoakEvent::Calm);
-    run.pass(CALM_SPAN)?;
+    run.inject_all(&plan)?;
+    run.run_for(RECOVERY_TIME)?;
+    run.log.record(SoakEvent::CalmStarted);
+    run.run_for(CALM_TIME)?;
     Ok(run.finish())
 }
 
-/// Something to be done later.
-enum Pending {
-    Heal(SoakStrike),
+/// An action that is due later. A `usize` is the index of a machine.
+enum PendingAction {
+    Heal(ScheduledFault),
     StartTarget(usize),
-    Retire(usize, u32),
+    /// Ends the target with this start number, if it still runs.
+    RetireTarget(usize, StartNumber),
 }
 
 struct SoakRun {
     fleet: Fleet,
     router: Router,
     log: Arc<SoakLog>,
-    ended: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
-    pending: Vec<(Instant, Pending)>,
-    /// When each process that is down starts again: balancers, then machines.
+    pending: Vec<(Instant, PendingAction)>,
+    /// Time at which each exited process starts again: balancers first, then agents.
     restarts: Vec<Option<Instant>>,
-    /// How long after its end an agent starts again.
+    /// Delay from an agent's exit until it is started again.
     agent_restart: Duration,
-    struck: usize,
+    injected: usize,
 }
 
 impl SoakRun {
-    fn begin(settings: &SoakSettings) -> Result<Self, SoakError> {
+    fn start(settings: &SoakSettings) -> Result<Self, SoakError> {
         let balancers = (settings.processes / 3).max(2);
         let machines = (settings.processes - balancers.min(settings.processes)).max(6);
         let log = Arc::new(SoakLog::new());
         let (programs, directory) = (settings.programs.as_path(), settings.directory.as_path());
-        let fleet = Fleet::begin(
+        let fleet = Fleet::start(
             programs,
             directory,
             balancers,
             machines,
-            settings.ignores_hangup,
+            settings.ignore_hangup,
             Arc::clone(&log),
         )?;
-        let ended = Arc::new(AtomicBool::new(false));
-        let addresses = fleet.balancers.iter().map(|unit| unit.ip).collect();
+        let shutdown = Arc::new(AtomicBool::new(false));
+        let addresses = fleet.balancers.iter().map(|balancer| balancer.ip).collect();
         let modulo = settings.seed.is_multiple_of(2);
-        let router = Router::begin(addresses, modulo, Arc::clone(&ended));
+        let router = Router::spawn(addresses, modulo, Arc::clone(&shutdown));
         Ok(Self {
             restarts: vec![None; fleet.balancers.len() + fleet.machines.len()],
             fleet,
             router,
             log,
-            ended,
+            shutdown,
             clients: Vec::new(),
             pending: Vec::new(),
             agent_restart: settings.agent_restart,
-            struck: 0,
+            injected: 0,
         })
     }
 
@@ -195,11 +200,11 @@
         let start = Instant::now();
         let wanted = self.fleet.balancers.len();
         while self.router.ready_count() < wanted {
-            if start.elapsed() > READY_LIMIT {
+            if start.elapsed() > READY_TIMEOUT {
                 let ready = self.router.ready_count();
                 return Err(SoakError::NotReady { ready, wanted });
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(STEP_INTERVAL);
         }
         Ok(())
     }
@@ -216,56 +221,57 @@
                 long_flows: route == 0 || number % 2 == 0,
             };
             let (router, log) = (self.router.clone(), Arc::clone(&self.log));
-            let client = begin_client(plan, router, log, Arc::clone(&self.ended))?;
+            let client = spawn_client(plan, router, log, Arc::clone(&self.shutdown))?;
             self.clients.push(client);
         }
         Ok(())
     }
 
-    fn strike_all(&mut self, plan: &SoakPlan) -> io::Result<()> {
+    fn inject_all(&mut self, plan: &SoakPlan) -> io::Result<()> {
         let start = Instant::now();
-        for strike in &plan.strikes {
-            while start.elapsed() < strike.at {
+        for fault in &plan.faults {
+            while start.elapsed() < fault.at {
                 self.step()?;
             }
-            self.log.note(SoakEvent::Fault);
-            self.struck += 1;
-            self.strike(*strike)?;
-            let heal = Instant::now() + strike.lasts;
-            self.pending.push((heal, Pending::Heal(*strike)));
+            self.log.record(SoakEvent::FaultInjected);
+            self.injected += 1;
+            self.inject(*fault)?;
+            let heal = Instant::now() + fault.duration;
+            self.pending.push((heal, PendingAction::Heal(*fault)));
         }
         Ok(())
     }
 
-    fn pass(&mut self, span: Duration) -> io::Result<()> {
-        let until = Instant::now() + span;
+    /// Steps for `duration`, and longer while actions are pending.
+    fn run_for(&mut self, duration: Duration) -> io::Result<()> {
+        let until = Instant::now() + duration;
         while Instant::now() < until || !self.pending.is_empty() {
             self.step()?;
         }
         Ok(())
     }
 
-    /// Looks at processes, and does what is due.
+    /// Performs due actions and checks processes.
     fn step(&mut self) -> io::Result<()> {
-        std::thread::sleep(STEP);
-        self.fleet.expire();
+        std::thread::sleep(STEP_INTERVAL);
+        self.fleet.remove_expired_entries();
         let now = Instant::now();
         let due: Vec<_> = self.pending.extract_if(.., |(at, _)| *at <= now).collect();
-        for (_, pending) in due {
-            match pending {
-                Pending::Heal(strike) => self.heal(strike)?,
-                Pending::StartTarget(at) if self.fleet.machines[at].target.is_none() => {
+        for (_, action) in due {
+            match action {
+                PendingAction::Heal(fault) => self.heal(fault)?,
+                PendingAction::StartTarget(at) if self.fleet.machines[at].target.is_none() => {
                     self.fleet.start_target(at)?;
                 }
-                Pending::StartTarget(_) => {}
-                Pending::Retire(at, start) => self.retire(at, start),
+                PendingAction::StartTarget(_) => {}
+                PendingAction::RetireTarget(at, start) => self.retire_target(at, start),
             }
         }
-        self.note_lasting();
-        self.look_at_processes()
+        self.record_ongoing_faults();
+        self.check_processes()
     }
 
-    fn look_at_processes(&mut self) -> io::Result<()> {
+    fn check_processes(&mut self) -> io::Result<()> {
         let now = Instant::now();
         let balancers = self.fleet.balancers.len();
         for number in 0..self.restarts.len() {
@@ -273,41 +279,41 @@
                 None => &mut self.fleet.balancers[number].process,
                 Some(at) => &mut self.fleet.machines[at].process,
             };
-            process.look();
+            process.check_exit();
             let restart = &mut self.restarts[number];
             if process.is_running() {
                 *restart = None;
                 continue;
             }
-            let pause = if number < balancers {
-                BALANCER_RESTART
+            let delay = if number < balancers {
+                BALANCER_RESTART_DELAY
             } else {
                 self.agent_restart
             };
-            let due = *restart.get_or_insert(now + pause);
+            let due = *restart.get_or_insert(now + delay);
             if due <= now {
                 process.start()?;
             }
-            // What was planned excuses nothing.
+            // A planned stop must not disturb anything, so it is not recorded.
             let planned = process.is_stopping();
             if let Some(at) = number.checked_sub(balancers).filter(|_| !planned) {
-                self.fleet.note_disturbed(at);
+                self.fleet.record_disturbed(at);
             }
         }
         Ok(())
     }
 
-    fn strike(&mut self, strike: SoakStrike) -> io::Result<()> {
-        let balancer = strike.draw as usize % self.fleet.balancers.len();
-        let machine = strike.draw as usize % self.fleet.machines.len();
+    fn inject(&mut self, scheduled: ScheduledFault) -> io::Result<()> {
+        let balancer = scheduled.selector as usize % self.fleet.balancers.len();
+        let machine = scheduled.selector as usize % self.fleet.machines.len();
         let fleet = &mut self.fleet;
-        match strike.fault {
+        match scheduled.fault {
             SoakFault::KillBalancer => {
-                self.disturb_balancer(balancer, |unit| unit.process.kill());
+                self.disturb_balancer(balancer, |balancer| balancer.process.kill());
             }
             SoakFault::KillBalancers => {
                 for number in 0..self.fleet.balancers.len() {
-                    self.disturb_balancer(number, |unit| unit.process.kill());
+                    self.disturb_balancer(number, |balancer| balancer.process.kill());
                 }
             }
             SoakFault::StopBalancer => fleet.balancers[balancer].process.stop(),
@@ -315,58 +321,71 @@
                 let half = fleet.balancers.len() / 2;
                 fleet.balancers[..half]
                     .iter_mut()
-                    .for_each(|one| one.process.stop());
+                    .for_each(|balancer| balancer.process.stop());
             }
             SoakFault::PauseBalancer => {
-                // One that wakes acts on what it knew: the users excuse it as the agents it knows.
-                self.log.note(SoakEvent::AllDisturbed);
+                // On its resumption, it acts on stale state towards all agents that it knows, which
+                // the users tolerate.
+                self.log.record(SoakEvent::AllTargetsDisturbed);
                 fleet.balancers[balancer].process.pause();
             }
-            SoakFault::KillAgent => self.disturb(machine, |unit| unit.process.kill()),
+            SoakFault::KillAgent => self.disturb(machine, |machine| machine.process.kill()),
             SoakFault::KillAgents => {
                 for at in 0..self.fleet.machines.len() {
-                    self.disturb(at, |unit| unit.process.kill());
+                    self.disturb(at, |machine| machine.process.kill());
                 }
             }
             SoakFault::StopAgent => fleet.machines[machine].process.stop(),
             SoakFault::RollAgents => {
                 let rolled = fleet.machines.iter_mut().skip(machine % 2).step_by(2);
-                rolled.for_each(|one| one.process.stop());
+                rolled.for_each(|machine| machine.process.stop());
             }
-            SoakFault::PauseAgent => self.disturb(machine, |unit| unit.process.pause()),
+            SoakFault::PauseAgent => self.disturb(machine, |machine| machine.process.pause()),
             SoakFault::LosePower => self.lose_power(),
             SoakFault::CrashTarget | SoakFault::ReuseAddress => {
-                self.disturb(machine, |unit| unit.process.kill());
+                self.disturb(machine, |machine| machine.process.kill());
                 self.fleet.crash_target(machine);
             }
             SoakFault::RestartTarget => self.fleet.crash_target(machine),
-            SoakFault::ReplaceTarget => self.announce(machine),
-            SoakFault::CutMachine => self.disturb(machine, |unit| unit.way.set(ProxyMode::Silent)),
-            SoakFault::PoorWay => self.disturb(machine, |unit| unit.way.set(ProxyMode::Poor)),
+            SoakFault::ReplaceTarget => self.announce_leaving(machine),
+            SoakFault::CutMachine => self.disturb(machine, |machine| {
+                machine.agent_proxy.set(ProxyMode::Blackhole);
+            }),
+            SoakFault::PoorWay => self.disturb(machine, |machine| {
+                machine.agent_proxy.set(ProxyMode::Degraded);
+            }),
             SoakFault::SilentStore => {
-                self.disturb_balancer(balancer, |unit| unit.store.set(ProxyMode::Silent));
+                self.disturb_balancer(balancer, |balancer| {
+                    balancer.store_proxy.set(ProxyMode::Blackhole);
+                });
             }
             SoakFault::ResetStore => {
-                self.disturb_balancer(balancer, |unit| unit.store.set(ProxyMode::Reset));
+                self.disturb_balancer(balancer, |balancer| {
+                    balancer.store_proxy.set(ProxyMode::Reset);
+                });
             }
             SoakFault::OneWayStore => {
-                self.disturb_balancer(balancer, |unit| unit.store.set(ProxyMode::OneWay));
+                self.disturb_balancer(balancer, |balancer| {
+                    balancer.store_proxy.set(ProxyMode::OneWay);
+                });
             }
             SoakFault::PoorStore => {
-                self.disturb_balancer(balancer, |unit| unit.store.set(ProxyMode::Poor));
+                self.disturb_balancer(balancer, |balancer| {
+                    balancer.store_proxy.set(ProxyMode::Degraded);
+                });
             }
             SoakFault::StoreRefuses => fleet.store.set_mode(StoreMode::Refusing),
-            SoakFault::StoreLapse => self.lapse(machine),
+            SoakFault::StoreLapse => self.expire_entries(machine),
             SoakFault::StoreForgets => fleet.store.compact_history(),
             SoakFault::BadEntry => {
                 if fleet.machines[machine].target.is_some() {
                     fleet.store.put_malformed(&fleet.entry_name(machine));
                 }
             }
-            SoakFault::RebornTarget => self.crash_reborn(machine),
+            SoakFault::RebornTarget => self.crash_keeping_name(machine),
             SoakFault::RebornWithAgent => {
-                self.disturb(machine, |unit| unit.process.kill());
-                self.crash_reborn(machine);
+                self.disturb(machine, |machine| machine.process.kill());
+                self.crash_keeping_name(machine);
             }
             SoakFault::ForeignEntries => fleet.write_foreign_entries(),
             SoakFault::ChangeConfig => fleet.publish_routes(),
@@ -375,42 +394,46 @@
                 fleet.publish_routes();
             }
             SoakFault::HangUp => {
-                let balancers = fleet.balancers.iter().map(|one| &one.process);
-                let agents = fleet.machines.iter().map(|one| &one.process);
+                let balancers = fleet.balancers.iter().map(|balancer| &balancer.process);
+                let agents = fleet.machines.iter().map(|machine| &machine.process);
                 balancers
                     .chain(agents)
-                    .for_each(|process| process.hang_up());
+                    .for_each(|process| process.send_hangup());
             }
         }
         Ok(())
     }
 
-    fn heal(&mut self, strike: SoakStrike) -> io::Result<()> {
-        let balancer = strike.draw as usize % self.fleet.balancers.len();
-        let machine = strike.draw as usize % self.fleet.machines.len();
+    fn heal(&mut self, scheduled: ScheduledFault) -> io::Result<()> {
+        let balancer = scheduled.selector as usize % self.fleet.balancers.len();
+        let machine = scheduled.selector as usize % self.fleet.machines.len();
         let fleet = &mut self.fleet;
-        match strike.fault {
+        match scheduled.fault {
             SoakFault::PauseBalancer => {
                 fleet.balancers[balancer].process.resume();
-                self.log.note(SoakEvent::AllDisturbed);
+                self.log.record(SoakEvent::AllTargetsDisturbed);
             }
-            SoakFault::PauseAgent => self.disturb(machine, |unit| unit.process.resume()),
+            SoakFault::PauseAgent => self.disturb(machine, |machine| machine.process.resume()),
             SoakFault::CutMachine | SoakFault::PoorWay => {
-                self.disturb(machine, |unit| unit.way.set(ProxyMode::Open));
+                self.disturb(machine, |machine| {
+                    machine.agent_proxy.set(ProxyMode::Forward);
+                });
             }
             SoakFault::SilentStore
             | SoakFault::ResetStore
             | SoakFault::OneWayStore
             | SoakFault::PoorStore => {
-                self.disturb_balancer(balancer, |unit| unit.store.set(ProxyMode::Open));
+                self.disturb_balancer(balancer, |balancer| {
+                    balancer.store_proxy.set(ProxyMode::Forward);
+                });
             }
             SoakFault::StoreRefuses | SoakFault::StoreLapse => {
                 fleet.store.set_mode(StoreMode::Serving);
                 for at in 0..fleet.machines.len() {
-                    fleet.register_again(at);
+                    fleet.rewrite_entry(at);
                 }
             }
-            SoakFault::BadEntry => fleet.register_again(machine),
+            SoakFault::BadEntry => fleet.rewrite_entry(machine),
             SoakFault::MoveRoute => {
                 fleet.routes[0] = 0;
                 fleet.publish_routes();
@@ -427,40 +450,42 @@
                     }
                 }
             }
-            SoakFault::ReuseAddress => self.reuse(machine)?,
+            SoakFault::ReuseAddress => self.reuse_address(machine)?,
             _ => {}
         }
         Ok(())
     }
 
-    fn disturb(&mut self, at: usize, change: impl FnOnce(&mut MachineUnit)) {
-        self.fleet.note_disturbed(at);
+    /// Records a disturbance of a machine, then causes it by `change`.
+    fn disturb(&mut self, at: usize, change: impl FnOnce(&mut TestMachine)) {
+        self.fleet.record_disturbed(at);
         change(&mut self.fleet.machines[at]);
     }
 
-    fn disturb_balancer(&mut self, number: usize, change: impl FnOnce(&mut BalancerUnit)) {
+    /// Records a disturbance of a balancer, then causes it by `change`.
+    fn disturb_balancer(&mut self, number: usize, change: impl FnOnce(&mut TestBalancer)) {
         let balancer = &mut self.fleet.balancers[number];
-        self.log.note(SoakEvent::BalancerDisturbed(balancer.ip));
+        self.log.record(SoakEvent::BalancerDisturbed(balancer.ip));
         change(balancer);
     }
 
-    /// A disturbance that lasts is one all the while.
-    fn note_lasting(&self) {
-        for (_, pending) in &self.pending {
-            let Pending::Heal(strike) = pending else {
+    /// Records the disturbances of store faults that are not healed yet, which continue until then.
+    fn record_ongoing_faults(&self) {
+        for (_, action) in &self.pending {
+            let PendingAction::Heal(scheduled) = action else {
                 continue;
             };
-            match strike.fault {
+            match scheduled.fault {
                 SoakFault::StoreRefuses | SoakFault::StoreLapse => {
-                    self.log.note(SoakEvent::StoreDisturbed);
+                    self.log.record(SoakEvent::StoreDisturbed);
                 }
                 SoakFault::SilentStore
                 | SoakFault::ResetStore
                 | SoakFault::OneWayStore
                 | SoakFault::PoorStore => {
-                    let number = strike.draw as usize % self.fleet.balancers.len();
+                    let number = scheduled.selector as usize % self.fleet.balancers.len();
                     let ip = self.fleet.balancers[number].ip;
-                    self.log.note(SoakEvent::BalancerDisturbed(ip));
+                    self.log.record(SoakEvent::BalancerDisturbed(ip));
                 }
                 _ => {}
             }
@@ -468,7 +493,7 @@
     }
 
     fn lose_power(&mut self) {
-        self.log.note(SoakEvent::AllDisturbed);
+        self.log.record(SoakEvent::AllTargetsDisturbed);
         for balancer in &mut self.fleet.balancers {
             balancer.process.kill();
         }
@@ -478,14 +503,15 @@
         }
     }
 
-    /// A target ends without a word, and starts again under its name.
-    fn crash_reborn(&mut self, at: usize) {
+    /// Kills a target that will start again under its name.
+    fn crash_keeping_name(&mut self, at: usize) {
         let machine = &mut self.fleet.machines[at];
-        machine.reborn = machine.target.is_some();
+        machine.reuse_name = machine.target.is_some();
         self.fleet.crash_target(at);
     }
 
-    fn announce(&mut self, at: usize) {
+    /// Makes a target announce that it is leaving, and schedules its end.
+    fn announce_leaving(&mut self, at: usize) {
         let Some(target) = &self.fleet.machines[at].target else {
             return;
         };
@@ -493,24 +519,26 @@
             return;
         }
         let start = target.start;
-        self.fleet.register(at, true);
-        self.log.note(SoakEvent::Leaving(start));
-        let end = Instant::now() + DRAIN;
-        self.pending.push((end, Pending::Retire(at, start)));
+        self.fleet.write_entry(at, true);
+        self.log.record(SoakEvent::TargetLeaving(start));
+        let end = Instant::now() + DRAIN_TIME;
+        self.pending
+            .push((end, PendingAction::RetireTarget(at, start)));
     }
 
-    fn retire(&mut self, at: usize, start: u32) {
+    fn retire_target(&mut self, at: usize, start: StartNumber) {
         let target = self.fleet.machines[at].target.as_ref();
         if target.is_some_and(|target| target.start == start) {
             self.fleet.retire_target(at);
-            self.disturb(at, |unit| unit.process.stop());
-            let next = Instant::now() + REPLACEMENT;
-            self.pending.push((next, Pending::StartTarget(at)));
+            self.disturb(at, |machine| machine.process.stop());
+            let next = Instant::now() + REPLACEMENT_DELAY;
+            self.pending.push((next, PendingAction::StartTarget(at)));
         }
     }
 
-    /// Entries of living targets vanish while the store is silent.
-    fn lapse(&mut self, from: usize) {
+    /// Makes the store hang, and removes the entries of every second running target meanwhile, as
+    /// if they had expired.
+    fn expire_entries(&mut self, from: usize) {
         self.fleet.store.set_mode(StoreMode::Silent);
         let count = self.fleet.machines.len();
         for at in (from..count).step_by(2) {
@@ -521,8 +549,9 @@
         }
     }
 
-    /// A target of the other service starts at a dead one's address, with an agent of its own.
-    fn reuse(&mut self, at: usize) -> io::Result<()> {
+    /// Starts a target of the other service at the address of a dead one. Its agent restarts with
+    /// it.
+    fn reuse_address(&mut self, at: usize) -> io::Result<()> {
         if self.fleet.machines[at].target.is_some() {
             return Ok(());
         }
@@ -532,23 +561,28 @@
     }
 
     fn finish(mut self) -> SoakReport {
-        self.ended.store(true, Ordering::Relaxed);
-        let ends = self.clients.drain(..).map(JoinHandle::join);
-        let lost_clients = ends.filter(Result::is_err).count();
+        self.shutdown.store(true, Ordering::Relaxed);
+        let results = self.clients.drain(..).map(JoinHandle::join);
+        let panicked_clients = results.filter(Result::is_err).count();
         let findings = self.log.findings();
         let (served, failed) = self.log.outcomes();
-        let balancers = self.fleet.balancers.iter().map(|one| one.process.own_ends);
-        let agents = self.fleet.machines.iter().map(|one| one.process.own_ends);
+        let balancers = self
+            .fleet
+            .balancers
+            .iter()
+            .map(|balancer| &balancer.process);
+        let agents = self.fleet.machines.iter().map(|machine| &machine.process);
+        let processes = balancers.chain(agents);
         let report = SoakReport {
             findings,
             served,
             failed,
-            strikes: self.struck,
-            own_ends: balancers.chain(agents).sum(),
-            lost_clients,
+            injected_faults: self.injected,
+            unexpected_exits: processes.map(|process| process.unexpected_exits).sum(),
+            panicked_clients,
             store_calls: self.fleet.store.calls(),
         };
-        self.fleet.end();
+        self.fleet.shut_down();
         report
     }
 }
--- a/standins/soak/src/target.rs
+++ b/standins/soak/src/target.rs
@@ -1,4 +1,4 @@
-//! A backend server on opaque packets.
+//! A backend server for opaque packets.
 
 use std::collections::HashMap;
 use std::io;
@@ -12,56 +12,59 @@
 use lovagelatch_adapter_standin::{encode_packet, mark_returned};
 use lovagelatch_flows::{FlowKey, FlowPacket, PacketFlags};
 
-use crate::addresses::{APP, OUTBOUND};
-use crate::check::{SoakEvent, SoakLog, TargetStart};
+use crate::addresses::{APP_PORT, OUTBOUND_PORT};
+use crate::check::{SoakEvent, SoakLog, StartNumber};
 
-/// How long a request runs.
-const WORK: Duration = Duration::from_millis(15);
+/// Time that a request runs.
+const WORK_TIME: Duration = Duration::from_millis(15);
 
-/// How long the target waits for a packet before it looks at its timers.
-const WAIT: Duration = Duration::from_millis(3);
+/// Time for which the target waits for a packet before it checks for completed requests.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(3);
 
 #[derive(Debug)]
 struct TargetFlow {
+    /// Initial sequence number of the target.
     number: u32,
     open: bool,
+    /// Whether the target has closed the flow, because it is leaving.
     closed: bool,
-    /// Requests with the time at which each is done, or whose responses were sent.
+    /// Completion times of requests; `None` after the response was sent.
     requests: HashMap<u64, Option<Instant>>,
 }
 
-/// What others may change about a running target.
+/// Flags through which other threads control a running target.
 #[derive(Debug, Default)]
 pub(crate) struct TargetControl {
-    pub(crate) ended: AtomicBool,
+    pub(crate) shutdown: AtomicBool,
     pub(crate) leaving: AtomicBool,
 }
 
 /// A running target.
 #[derive(Debug)]
 pub(crate) struct Target {
-    pub(crate) start: TargetStart,
+    pub(crate) start: StartNumber,
     pub(crate) control: Arc<TargetControl>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Which services a route's address may reach: told by whoever changes routes.
+/// Services that each service address was routed to so far. The fleet updates it when it publishes
+/// routes.
 pub(crate) type AllowedRoutes = Arc<Mutex<HashMap<SocketAddrV4, Vec<u8>>>>;
 
 impl Target {
-    pub(crate) fn begin(
+    pub(crate) fn spawn(
         ip: Ipv4Addr,
-        start: TargetStart,
+        start: StartNumber,
         service: u8,
         allowed: AllowedRoutes,
         log: Arc<SoakLog>,
     ) -> io::Result<Self> {
-        let socket = UdpSocket::bind((ip, APP))?;
-        socket.set_read_timeout(Some(WAIT))?;
+        let socket = UdpSocket::bind((ip, APP_PORT))?;
+        socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
         let control = Arc::new(TargetControl::default());
-        let mut body = TargetBody {
+        let mut server = TargetServer {
             socket,
-            outbound: SocketAddrV4::new(ip, OUTBOUND),
+            outbound: SocketAddrV4::new(ip, OUTBOUND_PORT),
             start,
             service,
             allowed,
@@ -69,7 +72,7 @@
             control: Arc::clone(&control),
             flows: HashMap::new(),
         };
-        let thread = std::thread::spawn(move || body.run());
+        let thread = std::thread::spawn(move || server.run());
         Ok(Self {
             start,
             control,
@@ -77,20 +80,20 @@
         })
     }
 
-    /// Ends at once, as a crash does; its address is free afterwards.
-    pub(crate) fn end(&mut self) {
-        self.control.ended.store(true, Ordering::Relaxed);
+    /// Ends the target at once, as a crash does. Its address is free afterwards.
+    pub(crate) fn shut_down(&mut self) {
+        self.control.shutdown.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A target that panicked has ended too.
+            // A panic ends the target as well.
             let _ended = thread.join();
         }
     }
 }
 
-struct TargetBody {
+struct TargetServer {
     socket: UdpSocket,
     outbound: SocketAddrV4,
-    start: TargetStart,
+    start: StartNumber,
     service: u8,
     allowed: AllowedRoutes,
     log: Arc<SoakLog>,
@@ -98,64 +101,64 @@
     flows: HashMap<FlowKey, TargetFlow>,
 }
 
-impl TargetBody {
+impl TargetServer {
     fn run(&mut self) {
         let mut buffer = [0; 2_048];
-        while !self.control.ended.load(Ordering::Relaxed) {
+        while !self.control.shutdown.load(Ordering::Relaxed) {
             if let Ok((length, _)) = self.socket.recv_from(&mut buffer) {
-                self.take(&buffer[..length]);
+                self.handle_packet(&buffer[..length]);
             }
-            self.finish();
+            self.complete_requests();
         }
-        self.log.note(SoakEvent::Ended(self.start));
+        self.log.record(SoakEvent::TargetEnded(self.start));
     }
 
-    fn take(&mut self, bytes: &[u8]) {
+    fn handle_packet(&mut self, bytes: &[u8]) {
         let Ok(packet) = decode_packet(bytes, PacketSender::Client) else {
             return;
         };
         if packet.opens() {
-            self.take_opening(&packet);
+            self.handle_opening(&packet);
             return;
         }
         let target = self.start;
         let Some(flow) = self.flows.get_mut(&packet.flow) else {
-            self.send_back(bytes);
+            self.return_packet(bytes);
             return;
         };
         if !flow.open {
             if packet.acknowledged != flow.number.wrapping_add(1) {
-                self.send_back(bytes);
+                self.return_packet(bytes);
                 return;
             }
             flow.open = true;
             let flow = packet.flow;
-            self.log.note(SoakEvent::Opened { flow, target });
+            self.log.record(SoakEvent::Opened { flow, target });
         }
-        self.log.note(SoakEvent::Reached(packet.flow));
-        self.take_data(&packet, &bytes[HEADER_BYTES..]);
+        self.log.record(SoakEvent::PacketReached(packet.flow));
+        self.handle_data(&packet, &bytes[HEADER_BYTES..]);
     }
 
-    fn take_opening(&mut self, packet: &FlowPacket) {
+    fn handle_opening(&mut self, packet: &FlowPacket) {
         let (flow, target) = (packet.flow, self.start);
-        let known = self.flows.get(&flow).filter(|held| !held.closed);
-        let number = known.map_or_else(rand::random, |held| held.number);
+        let known = self.flows.get(&flow).filter(|known| !known.closed);
+        let number = known.map_or_else(rand::random, |known| known.number);
         if known.is_none() {
             let services = self.allowed.lock().expect("routes");
             let services = services.get(&flow.service_address);
             let allowed = services.is_some_and(|services| services.contains(&self.service));
-            self.log.note(SoakEvent::Accepted {
+            self.log.record(SoakEvent::Accepted {
                 flow,
                 target,
                 allowed,
             });
-            let held = TargetFlow {
+            let new = TargetFlow {
                 number,
                 open: false,
                 closed: false,
                 requests: HashMap::new(),
             };
-            self.flows.insert(flow, held);
+            self.flows.insert(flow, new);
         }
         let flags = PacketFlags {
             syn: true,
@@ -165,15 +168,15 @@
         self.send(flow, flags, number, &[]);
     }
 
-    fn take_data(&mut self, packet: &FlowPacket, data: &[u8]) {
+    fn handle_data(&mut self, packet: &FlowPacket, data: &[u8]) {
         let Some(request) = data.first_chunk().map(|bytes| u64::from_le_bytes(*bytes)) else {
             return;
         };
         let flow = packet.flow;
-        let Some(held) = self.flows.get_mut(&flow) else {
+        let Some(state) = self.flows.get_mut(&flow) else {
             return;
         };
-        if held.closed && !held.requests.contains_key(&request) {
+        if state.closed && !state.requests.contains_key(&request) {
             let flags = PacketFlags {
                 rst: true,
                 ..PacketFlags::default()
@@ -181,23 +184,23 @@
             self.send(flow, flags, packet.acknowledged, &[]);
             return;
         }
-        match held.requests.get(&request) {
+        match state.requests.get(&request) {
             None => {
-                let done = Instant::now() + WORK;
-                held.requests.insert(request, Some(done));
-                self.log.note(SoakEvent::Ran { request, flow });
+                let done = Instant::now() + WORK_TIME;
+                state.requests.insert(request, Some(done));
+                self.log.record(SoakEvent::Ran { request, flow });
             }
             Some(None) => self.respond(flow, request),
             Some(Some(_)) => {}
         }
     }
 
-    /// Sends the responses whose work is done.
-    fn finish(&mut self) {
+    /// Sends the responses of requests that are complete.
+    fn complete_requests(&mut self) {
         let now = Instant::now();
         let mut due = Vec::new();
-        for (flow, held) in &mut self.flows {
-            for (request, done) in &mut held.requests {
+        for (flow, state) in &mut self.flows {
+            for (request, done) in &mut state.requests {
                 if done.is_some_and(|done| done <= now) {
                     *done = None;
                     due.push((*flow, *request));
@@ -206,25 +209,25 @@
         }
         for (flow, request) in due {
             let leaving = self.control.leaving.load(Ordering::Relaxed);
-            if let Some(held) = self.flows.get_mut(&flow).filter(|_| leaving) {
-                held.closed = true;
+            if let Some(state) = self.flows.get_mut(&flow).filter(|_| leaving) {
+                state.closed = true;
             }
             self.respond(flow, request);
         }
     }
 
     fn respond(&self, flow: FlowKey, request: u64) {
-        let Some(held) = self.flows.get(&flow) else {
+        let Some(state) = self.flows.get(&flow) else {
             return;
         };
         let flags = PacketFlags {
             ack: true,
-            fin: held.closed,
+            fin: state.closed,
             ..PacketFlags::default()
         };
-        let seal = seal(request).to_le_bytes();
-        let data = [request.to_le_bytes(), seal].concat();
-        self.send(flow, flags, held.number.wrapping_add(1), &data);
+        let check = response_check(request).to_le_bytes();
+        let data = [request.to_le_bytes(), check].concat();
+        self.send(flow, flags, state.number.wrapping_add(1), &data);
     }
 
     fn send(&self, flow: FlowKey, flags: PacketFlags, sequence: u32, data: &[u8]) {
@@ -237,22 +240,22 @@
             tag: 0,
         };
         let bytes = encode_packet(&packet, PacketSender::Target, data);
-        self.emit(&bytes);
+        self.send_bytes(&bytes);
     }
 
-    fn send_back(&self, bytes: &[u8]) {
+    fn return_packet(&self, bytes: &[u8]) {
         let mut bytes = bytes.to_vec();
         mark_returned(&mut bytes);
-        self.emit(&bytes);
+        self.send_bytes(&bytes);
     }
 
-    fn emit(&self, bytes: &[u8]) {
-        // An agent that is down loses it, as on a real machine.
+    fn send_bytes(&self, bytes: &[u8]) {
+        // Lost if the agent is down, as on a real machine.
         let _sent = self.socket.send_to(bytes, self.outbound);
     }
 }
 
-/// What a whole response carries besides its request's number.
-pub(crate) fn seal(request: u64) -> u64 {
+/// Returns the check value that a complete response carries after the request number.
+pub(crate) fn response_check(request: u64) -> u64 {
     request.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x7365_616c
 }
--- a/standins/soak/tests/all/check.rs
+++ b/standins/soak/tests/all/check.rs
@@ -1,4 +1,4 @@
-//! What the soak takes for a broken promise.
+//! Which events the soak reports as violations.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 
 struct SilenceCase {
     name: &'static str,
-    /// What is seen after the flow opened and before its client gives up.
+    /// Events after the flow opened and before its client gives up.
     events: Vec<SoakEvent>,
     /// Whether a packet reaches the target after the client began to send.
     reached: bool,
@@ -26,11 +26,11 @@
     found: bool,
 }
 
-// Symptom: a balancer that does not search for flows it does not know passes the soak. Sequence:
-// balancers are replaced; clients' packets reach others; none reaches its target; each client gives
-// its request up. Cause: only resets were judged, and silence before the calm end was not.
+/// Guards against passing a balancer that does not search for unknown flows. After a replacement of
+/// balancers, packets of open flows arrive at other balancers and never reach their targets, so
+/// that requests time out without a reset.
 #[test]
-fn an_open_flow_may_not_fall_silent_while_all_is_well() {
+fn an_open_flow_may_not_time_out_without_a_disturbance() {
     let other = Ipv4Addr::new(127, 1, 0, 2);
     let case = |name, events: &[SoakEvent], found| SilenceCase {
         name,
@@ -40,19 +40,31 @@
         found,
     };
     let cases = [
-        case("nothing is wrong", &[], true),
-        case("the target ended", &[SoakEvent::Ended(1)], false),
-        case("another target ended", &[SoakEvent::Ended(2)], true),
-        case("the target is disturbed", &[SoakEvent::Disturbed(1)], false),
-        case("all targets are", &[SoakEvent::AllDisturbed], false),
-        case("the store is", &[SoakEvent::StoreDisturbed], false),
+        case("no disturbance", &[], true),
+        case("the target ended", &[SoakEvent::TargetEnded(1)], false),
+        case("another target ended", &[SoakEvent::TargetEnded(2)], true),
         case(
-            "the balancer is",
+            "the target is disturbed",
+            &[SoakEvent::TargetDisturbed(1)],
+            false,
+        ),
+        case(
+            "all targets are disturbed",
+            &[SoakEvent::AllTargetsDisturbed],
+            false,
+        ),
+        case(
+            "the store is disturbed",
+            &[SoakEvent::StoreDisturbed],
+            false,
+        ),
+        case(
+            "the balancer is disturbed",
             &[SoakEvent::BalancerDisturbed(BALANCER)],
             false,
         ),
         case(
-            "a balancer is that did not take the packets",
+            "another balancer is disturbed",
             &[SoakEvent::BalancerDisturbed(other)],
             true,
         ),
@@ -62,28 +74,30 @@
         },
         SilenceCase {
             sent_ms: 1_000,
-            ..case("the client sent for a moment only", &[], false)
+            ..case("the client sent for less than the timeout", &[], false)
         },
     ];
     for case in cases {
         let log = SoakLog::new();
         let (flow, target) = (flow(), 1);
-        log.note(SoakEvent::Opened { flow, target });
+        log.record(SoakEvent::Opened { flow, target });
         for event in case.events {
-            log.note(event);
+            log.record(event);
         }
         if case.reached {
-            log.note(SoakEvent::Reached(flow));
+            log.record(SoakEvent::PacketReached(flow));
         }
         let sent = Duration::from_millis(case.sent_ms);
         let since = Instant::now().checked_sub(sent).expect("a running clock");
-        log.note(SoakEvent::Silent {
+        log.record(SoakEvent::Silent {
             flow,
             since,
             balancer: BALANCER,
         });
         let found = log.findings();
-        let silent = found.iter().any(|one| one.promise == "open_flow_silent");
+        let silent = found
+            .iter()
+            .any(|finding| finding.guarantee == "open_flow_silent");
         assert_eq!(silent, case.found, "{}: {found:?}", case.name);
     }
 }
--- a/standins/soak/tests/all/main.rs
+++ b/standins/soak/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the soak's own parts, without processes.
+//! Tests of the soak's parts that need no processes.
 
 mod check;
 mod network;
--- a/standins/soak/tests/all/network.rs
+++ b/standins/soak/tests/all/network.rs
@@ -1,13 +1,12 @@
-//! Runs side by side do not share addresses.
+//! Concurrent runs use different addresses.
 
 use std::io;
 use std::net::TcpListener;
 
 use lovagelatch_soak::RunNetwork;
 
-// Symptom: a soak ends with "Address already in use" before its first fault. Sequence: another soak
-// runs on the machine, whose process number leads to the same network. Cause: the network followed
-// from the process number alone.
+/// Guards against a soak that fails with "Address already in use" because another soak on the
+/// machine has a process id that gives the same network.
 #[test]
 fn a_network_that_another_run_holds_is_passed_over() {
     let (first, _held) = RunNetwork::claim(TcpListener::bind).expect("a network");
@@ -17,7 +16,8 @@
 
 struct ClaimCase {
     name: &'static str,
-    refused: u32,
+    /// Number of the first calls that fail with `error`.
+    failures: u32,
     error: io::ErrorKind,
     calls: u32,
     outcome: Result<(), io::ErrorKind>,
@@ -30,35 +30,35 @@
     let cases = [
         ClaimCase {
             name: "none in use",
-            refused: 0,
+            failures: 0,
             error: in_use,
             calls: 1,
             outcome: Ok(()),
         },
         ClaimCase {
             name: "three in use",
-            refused: 3,
+            failures: 3,
             error: in_use,
             calls: 4,
             outcome: Ok(()),
         },
         ClaimCase {
             name: "all but one",
-            refused: 199,
+            failures: 199,
             error: in_use,
             calls: 200,
             outcome: Ok(()),
         },
         ClaimCase {
             name: "all in use",
-            refused: 200,
+            failures: 200,
             error: in_use,
             calls: 200,
             outcome: Err(in_use),
         },
         ClaimCase {
             name: "not allowed",
-            refused: 1,
+            failures: 1,
             error: denied,
             calls: 1,
             outcome: Err(denied),
@@ -68,7 +68,7 @@
         let mut calls = 0;
         let claimed = RunNetwork::claim(|_| {
             calls += 1;
-            if calls <= case.refused {
+            if calls <= case.failures {
                 Err(case.error.into())
             } else {
                 Ok(())
