--- a/tests/matrix/src/flows/agent.rs
+++ b/tests/matrix/src/flows/agent.rs
@@ -1,4 +1,4 @@
-//! An agent: the arrival decision, and as much of a QUIC endpoint as the promises need.
+//! A simulated agent: the arrival decision and a minimal QUIC endpoint.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,34 +11,35 @@
 
 use super::FlowMechanisms;
 use super::caller::{CallerDatagram, FIRST_FLIGHT};
-use super::truth::FleetTruth;
+use super::fleet::FleetState;
 use crate::history::AgentStart;
 
-/// What a reset is recognized by: the key's first bytes and the connection ID.
-pub(crate) type ResetMark = ([u8; 8], [u8; TOKEN_BYTES]);
+/// Stands for a stateless reset token: the first bytes of the reset key, and the connection ID.
+pub(crate) type ResetToken = ([u8; 8], [u8; TOKEN_BYTES]);
 
-/// What an agent sends to a caller.
+/// A datagram that an agent sends to a caller.
 #[derive(Clone, Debug)]
 pub(crate) enum AgentReply {
-    /// It has these packets; a connection ID to use from now on, with its reset mark.
-    Answer {
+    /// Acknowledges a packet and issues a connection ID, to be used from now on, with its reset
+    /// token.
+    Ack {
         holder: AgentStart,
-        has: u32,
+        number: u32,
         token: [u8; TOKEN_BYTES],
-        mark: ResetMark,
+        reset_token: ResetToken,
     },
     /// A stateless reset.
-    Reset(ResetMark),
+    Reset(ResetToken),
 }
 
-/// What became of a frame.
-pub(crate) enum Arrival {
+/// The result of handling a forward frame.
+pub(crate) enum ArrivalOutcome {
     Dropped,
-    HandedOn(AgentAddress, Vec<u8>),
-    /// It reached the endpoint.
-    Taken {
+    Forwarded(AgentAddress, Vec<u8>),
+    /// The packet reached the endpoint of this agent.
+    Accepted {
         datagram: CallerDatagram,
-        /// Whether it was taken for a packet of a flow that this agent holds.
+        /// Whether the packet was accepted as part of a flow that this agent holds.
         open: bool,
         issued: bool,
         reply: Option<AgentReply>,
@@ -47,8 +48,8 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Opening {
-    Here,
+enum HandshakeRoute {
+    Local,
     Peer(AgentAddress),
 }
 
@@ -56,17 +57,17 @@
     pub(crate) start: AgentStart,
     pub(crate) service: ServiceId,
     pub(crate) keys: FleetKeys,
-    pub(crate) view: FleetTruth,
+    pub(crate) view: FleetState,
     table: RoutingTable,
     pub(crate) running: bool,
     pub(crate) paused: bool,
-    pub(crate) held_back: Vec<Vec<u8>>,
+    pub(crate) pending_frames: Vec<Vec<u8>>,
     pub(crate) leaving: bool,
-    openings: HashMap<Vec<u8>, Opening>,
-    /// Packets that came, by flow.
-    flows: HashMap<u64, BTreeSet<u32>>,
-    /// The flow of each connection ID.
-    serials: HashMap<u64, u64>,
+    handshakes: HashMap<Vec<u8>, HandshakeRoute>,
+    /// Numbers of the packets received, by flow.
+    packets_by_flow: HashMap<u64, BTreeSet<u32>>,
+    /// Flows by the serial of their connection IDs.
+    flows_by_serial: HashMap<u64, u64>,
     next_serial: u64,
 }
 
@@ -75,45 +76,49 @@
         start: AgentStart,
         service: ServiceId,
         keys: FleetKeys,
-        view: &FleetTruth,
+        view: &FleetState,
     ) -> Self {
         Self {
             start,
             service,
             keys,
             view: view.clone(),
-            table: table_of(view),
+            table: agent_table(view),
             running: true,
             paused: false,
-            held_back: Vec::new(),
+            pending_frames: Vec::new(),
             leaving: false,
-            openings: HashMap::new(),
-            flows: HashMap::new(),
-            serials: HashMap::new(),
-            // Starts at one address share no connection ID.
+            handshakes: HashMap::new(),
+            packets_by_flow: HashMap::new(),
+            flows_by_serial: HashMap::new(),
+            // Different starts at one address never issue the same connection ID.
             next_serial: start.start << 32,
         }
     }
 
-    pub(crate) fn take_view(&mut self, view: &FleetTruth) {
+    pub(crate) fn set_view(&mut self, view: &FleetState) {
         self.view = view.clone();
-        self.table = table_of(view);
+        self.table = agent_table(view);
     }
 
-    /// Takes a forward frame.
-    pub(crate) fn receive(&mut self, frame: &[u8], mechanisms: FlowMechanisms) -> Arrival {
+    /// Handles a forward frame of a balancer or another agent.
+    pub(crate) fn handle_frame(
+        &mut self,
+        frame: &[u8],
+        mechanisms: FlowMechanisms,
+    ) -> ArrivalOutcome {
         let Ok((header, datagram)) = open_forward(frame, &self.keys) else {
-            return Arrival::Dropped;
+            return ArrivalOutcome::Dropped;
         };
         let Ok(packet) = PacketView::read(datagram, header.service_address, &self.keys) else {
-            return Arrival::Dropped;
+            return ArrivalOutcome::Dropped;
         };
         let Some(parsed) = CallerDatagram::parse(datagram) else {
-            return Arrival::Dropped;
+            return ArrivalOutcome::Dropped;
         };
         let decision = self.decide(&header, packet, mechanisms);
         match decision {
-            ArrivalDecision::Accept => self.take(parsed, packet, mechanisms),
+            ArrivalDecision::Accept => self.accept(parsed, packet, mechanisms),
             ArrivalDecision::Reset => self.reset(parsed, packet.flow_key, mechanisms),
             ArrivalDecision::Forward { agent } => {
                 let header = ForwardHeader {
@@ -122,26 +127,26 @@
                 };
                 let mut frame = Vec::new();
                 seal_forward(&header, datagram, &self.keys, &mut frame);
-                Arrival::HandedOn(agent, frame)
+                ArrivalOutcome::Forwarded(agent, frame)
             }
-            ArrivalDecision::Refuse { .. } if mechanisms.service_check => Arrival::Dropped,
-            ArrivalDecision::Refuse { .. } => self.take(parsed, packet, mechanisms),
+            ArrivalDecision::Refuse { .. } if mechanisms.service_check => ArrivalOutcome::Dropped,
+            ArrivalDecision::Refuse { .. } => self.accept(parsed, packet, mechanisms),
         }
     }
 
-    /// The decision, with what the binary adds to it: its memory of openings, and its own view
-    /// of a holder that a balancer takes for gone.
+    /// Makes the arrival decision. Like the agent binary, consults the table of handshakes first
+    /// and checks its own view before it resets a flow whose holder a balancer considers gone.
     fn decide(
         &mut self,
         header: &ForwardHeader,
         packet: PacketView<'_>,
         mechanisms: FlowMechanisms,
     ) -> ArrivalDecision {
-        let opening = self.openings.get(packet.flow_key).copied();
-        if let (None, Some(Opening::Peer(agent))) = (packet.token, opening) {
+        let route = self.handshakes.get(packet.flow_key).copied();
+        if let (None, Some(HandshakeRoute::Peer(agent))) = (packet.token, route) {
             return ArrivalDecision::Forward { agent };
         }
-        let admission = match opening {
+        let admission = match route {
             Some(_) => FlowAdmission::HandshakeStarted,
             None if self.leaving => FlowAdmission::Leaving,
             None => FlowAdmission::Accepting,
@@ -153,48 +158,51 @@
             hops: header.hops,
             admission,
         };
-        let own = self.start.agent;
-        let decision = FlowRouter::new().route_arrival(&arrival, own, self.service, &self.table);
+        let own_address = self.start.agent;
+        let decision =
+            FlowRouter::new().route_arrival(&arrival, own_address, self.service, &self.table);
         let ArrivalDecision::Forward { agent } = decision else {
             if packet.token.is_none() && decision == ArrivalDecision::Accept {
-                self.openings
-                    .insert(packet.flow_key.to_vec(), Opening::Here);
+                self.handshakes
+                    .insert(packet.flow_key.to_vec(), HandshakeRoute::Local);
             }
             return decision;
         };
         if packet.token.is_none() {
-            self.openings
-                .insert(packet.flow_key.to_vec(), Opening::Peer(agent));
+            self.handshakes
+                .insert(packet.flow_key.to_vec(), HandshakeRoute::Peer(agent));
             return decision;
         }
-        let confirmed = !self.view.lives(agent, self.service);
+        let confirmed = !self.view.is_unsuspected_target(agent, self.service);
         if confirmed || !mechanisms.two_views {
             return ArrivalDecision::Reset;
         }
         decision
     }
 
-    fn take(
+    fn accept(
         &mut self,
         datagram: CallerDatagram,
         packet: PacketView<'_>,
         mechanisms: FlowMechanisms,
-    ) -> Arrival {
+    ) -> ArrivalOutcome {
         let flow = datagram.flow;
-        let held = packet.token.and_then(|token| {
-            let own = token.agent == self.start.agent;
-            self.serials.get(&token.serial).filter(|_| own)
+        let known_flow = packet.token.and_then(|token| {
+            let is_own = token.agent == self.start.agent;
+            self.flows_by_serial.get(&token.serial).filter(|_| is_own)
         });
-        if packet.token.is_some() && held.is_none() {
+        if packet.token.is_some() && known_flow.is_none() {
             return self.reset(datagram, packet.flow_key, mechanisms);
         }
-        let open = held.is_some();
-        let has = self.flows.entry(flow).or_default();
-        has.insert(datagram.number);
-        let opened = FIRST_FLIGHT.clone().all(|number| has.contains(&number));
-        let issued = opened && !open;
-        let reply = opened.then(|| self.answer(flow, datagram.number));
-        Arrival::Taken {
+        let open = known_flow.is_some();
+        let received = self.packets_by_flow.entry(flow).or_default();
+        received.insert(datagram.number);
+        let handshake_started = FIRST_FLIGHT
+            .clone()
+            .all(|number| received.contains(&number));
+        let issued = handshake_started && !open;
+        let reply = handshake_started.then(|| self.acknowledge(flow, datagram.number));
+        ArrivalOutcome::Accepted {
             datagram,
             open,
             issued,
@@ -202,48 +210,54 @@
         }
     }
 
-    /// Every answer brings a connection ID of the current key generation.
-    fn answer(&mut self, flow: u64, has: u32) -> AgentReply {
+    /// Acknowledges a packet; every reply issues a connection ID of the current key generation.
+    fn acknowledge(&mut self, flow: u64, number: u32) -> AgentReply {
         let serial = self.next_serial;
         self.next_serial += 1;
-        self.serials.insert(serial, flow);
+        self.flows_by_serial.insert(serial, flow);
         let token = FlowToken {
             agent: self.start.agent,
             service: self.service,
             serial,
         };
         let token = token.seal(&self.keys);
-        AgentReply::Answer {
+        AgentReply::Ack {
             holder: self.start,
-            has,
+            number,
             token,
-            mark: (reset_key(&self.keys, token[0]), token),
+            reset_token: (reset_key_prefix(&self.keys, token[0]), token),
         }
     }
 
-    fn reset(&self, datagram: CallerDatagram, id: &[u8], mechanisms: FlowMechanisms) -> Arrival {
+    fn reset(
+        &self,
+        datagram: CallerDatagram,
+        id: &[u8],
+        mechanisms: FlowMechanisms,
+    ) -> ArrivalOutcome {
         let Ok(id) = <[u8; TOKEN_BYTES]>::try_from(id) else {
-            return Arrival::Dropped;
+            return ArrivalOutcome::Dropped;
         };
-        let generation = match mechanisms.generation_of_reset {
+        let generation = match mechanisms.reset_generation {
             true => id[0],
             false => self.keys.current_generation().0,
         };
-        let mark = (reset_key(&self.keys, generation), id);
-        Arrival::Reset(datagram, AgentReply::Reset(mark))
+        let reset_token = (reset_key_prefix(&self.keys, generation), id);
+        ArrivalOutcome::Reset(datagram, AgentReply::Reset(reset_token))
     }
 }
 
-/// Agents keep no record of who is gone: they judge by their view alone.
-fn table_of(view: &FleetTruth) -> RoutingTable {
+/// Builds the routing table of an agent. Agents do not track absent agents; they rely on their
+/// view alone.
+fn agent_table(view: &FleetState) -> RoutingTable {
     view.table().with_gone([])
 }
 
-fn reset_key(keys: &FleetKeys, generation: u8) -> [u8; 8] {
+fn reset_key_prefix(keys: &FleetKeys, generation: u8) -> [u8; 8] {
     let key = keys.reset_key_for(KeyGeneration(generation));
-    let mut start = [0; 8];
+    let mut prefix = [0; 8];
     if let Some(key) = key {
-        start.copy_from_slice(&key[..8]);
+        prefix.copy_from_slice(&key[..8]);
     }
-    start
+    prefix
 }
--- a/tests/matrix/src/flows/balancer.rs
+++ b/tests/matrix/src/flows/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer: reads a datagram, decides, seals a forward frame.
+//! A simulated balancer: parses a datagram, makes the routing decision, seals a forward frame.
 
 use std::net::SocketAddrV4;
 
@@ -8,34 +8,35 @@
 use lovagelatch_wire::{ForwardHeader, seal_forward};
 
 use super::FlowMechanisms;
-use super::truth::{CLAIMS_ADDRESS, FleetTruth};
+use super::fleet::{CLAIMS_ADDRESS, FleetState};
 
 pub(crate) struct FlowBalancer {
     pub(crate) keys: FleetKeys,
     pub(crate) table: RoutingTable,
-    /// It does not hear of changes.
+    /// Whether view updates are withheld from it.
     pub(crate) stale: bool,
     pub(crate) paused: bool,
-    /// What came while it was paused.
-    pub(crate) held_back: Vec<(SocketAddrV4, Vec<u8>)>,
-    pub(crate) cut_off: bool,
-    pub(crate) cut_from: Option<AgentAddress>,
+    /// Datagrams that arrived while it was paused, with their sources.
+    pub(crate) pending_datagrams: Vec<(SocketAddrV4, Vec<u8>)>,
+    pub(crate) isolated: bool,
+    pub(crate) unreachable_agent: Option<AgentAddress>,
 }
 
 impl FlowBalancer {
-    pub(crate) fn new(keys: FleetKeys, truth: &FleetTruth) -> Self {
+    pub(crate) fn new(keys: FleetKeys, fleet: &FleetState) -> Self {
         Self {
             keys,
-            table: truth.table(),
+            table: fleet.table(),
             stale: false,
             paused: false,
-            held_back: Vec::new(),
-            cut_off: false,
-            cut_from: None,
+            pending_datagrams: Vec::new(),
+            isolated: false,
+            unreachable_agent: None,
         }
     }
 
-    /// Where a caller's datagram goes, and the frame.
+    /// Returns the agent to which a caller's datagram is forwarded, and the frame; `None` if it is
+    /// dropped.
     pub(crate) fn forward(
         &self,
         caller: SocketAddrV4,
@@ -56,7 +57,7 @@
             } if !mechanisms.service_check => (packet.token?.agent, flow),
             RouteDecision::Refuse { .. } => return None,
         };
-        if self.cut_off || self.cut_from == Some(agent) {
+        if self.isolated || self.unreachable_agent == Some(agent) {
             return None;
         }
         let header = ForwardHeader {
--- a/tests/matrix/src/flows/caller.rs
+++ b/tests/matrix/src/flows/caller.rs
@@ -1,4 +1,4 @@
-//! A caller with one flow: real headers, retransmission, no encryption.
+//! A simulated caller with one flow: real headers and retransmission, no encryption.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -7,19 +7,19 @@
 use lovagelatch_keys::TOKEN_BYTES;
 use lovagelatch_routing::{HeaderForm, MIN_INITIAL_BYTES, QUIC_VERSION_1, QuicHeader};
 
-use super::agent::{AgentReply, ResetMark};
+use super::agent::{AgentReply, ResetToken};
 use crate::history::AgentStart;
 
-/// The packets of the first flight, which go out before any answer.
+/// Numbers of the packets in the first flight, which are sent before any response.
 pub(crate) const FIRST_FLIGHT: Range<u32> = 0..2;
 
-const HANDSHAKE: u32 = 2;
-const LONG_HANDSHAKE: u8 = 2 << 4;
+const HANDSHAKE_NUMBER: u32 = 2;
+const HANDSHAKE_TYPE: u8 = 2 << 4;
 const LONG_FORM: u8 = 0xc0;
 const SHORT_FORM: u8 = 0x40;
-const CHOSEN_ID_BYTES: usize = 8;
+const INITIAL_ID_BYTES: usize = 8;
 
-/// What a datagram says behind its header.
+/// The payload of a caller's datagram, after its QUIC header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallerDatagram {
     pub(crate) flow: u64,
@@ -45,24 +45,24 @@
 pub(crate) struct FlowCaller {
     pub(crate) flow: u64,
     pub(crate) address: SocketAddrV4,
-    chosen_id: [u8; CHOSEN_ID_BYTES],
+    initial_id: [u8; INITIAL_ID_BYTES],
     token: Option<[u8; TOKEN_BYTES]>,
-    marks: Vec<ResetMark>,
+    reset_tokens: Vec<ResetToken>,
     pub(crate) holder: Option<AgentStart>,
-    pub(crate) unanswered: BTreeSet<u32>,
+    pub(crate) unacknowledged: BTreeSet<u32>,
     pub(crate) ended: bool,
 }
 
 impl FlowCaller {
-    pub(crate) fn new(flow: u64, chosen_id: [u8; CHOSEN_ID_BYTES]) -> Self {
+    pub(crate) fn new(flow: u64, initial_id: [u8; INITIAL_ID_BYTES]) -> Self {
         let mut caller = Self {
             flow,
             address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0),
-            chosen_id,
+            initial_id,
             token: None,
-            marks: Vec::new(),
+            reset_tokens: Vec::new(),
             holder: None,
-            unanswered: BTreeSet::new(),
+            unacknowledged: BTreeSet::new(),
             ended: false,
         };
         caller.change_address(0);
@@ -74,14 +74,14 @@
         self.address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
     }
 
-    /// The datagram of a packet; `None` when it needs a connection ID that is not there yet.
+    /// Builds the datagram of a packet; `None` while it needs a connection ID not yet received.
     pub(crate) fn datagram(&self, number: u32) -> Option<Vec<u8>> {
         let initial = FIRST_FLIGHT.contains(&number);
         let mut datagram = match (self.token, initial) {
             (None, false) => return None,
-            (None, true) => long_header(0, &self.chosen_id),
-            (Some(token), _) if number <= HANDSHAKE => {
-                long_header(if initial { 0 } else { LONG_HANDSHAKE }, &token)
+            (None, true) => long_header(0, &self.initial_id),
+            (Some(token), _) if number <= HANDSHAKE_NUMBER => {
+                long_header(if initial { 0 } else { HANDSHAKE_TYPE }, &token)
             }
             (Some(token), _) => {
                 let mut datagram = vec![SHORT_FORM];
@@ -97,32 +97,32 @@
         Some(datagram)
     }
 
-    /// Takes an agent's reply; the holder when this answer made it known, and whether it was a
-    /// genuine reset.
-    pub(crate) fn hear(&mut self, reply: AgentReply) -> (Option<AgentStart>, bool) {
+    /// Handles a reply of an agent. Returns the holder if this reply is the first one from it,
+    /// and whether the reply is a genuine reset.
+    pub(crate) fn handle_reply(&mut self, reply: AgentReply) -> (Option<AgentStart>, bool) {
         match reply {
-            AgentReply::Answer {
+            AgentReply::Ack {
                 holder,
-                has,
+                number,
                 token,
-                mark,
+                reset_token,
             } => {
-                // Answers of another half-open flow do not decrypt here.
+                // Replies of another half-open connection would fail to decrypt.
                 if self.holder.is_some_and(|known| known != holder) {
                     return (None, false);
                 }
                 let first = self.holder.is_none();
                 self.holder = Some(holder);
                 self.token = Some(token);
-                self.marks.push(mark);
+                self.reset_tokens.push(reset_token);
                 if first {
-                    self.unanswered
+                    self.unacknowledged
                         .retain(|number| !FIRST_FLIGHT.contains(number));
                 }
-                self.unanswered.remove(&has);
+                self.unacknowledged.remove(&number);
                 (first.then_some(holder), false)
             }
-            AgentReply::Reset(mark) => (None, self.marks.contains(&mark)),
+            AgentReply::Reset(reset_token) => (None, self.reset_tokens.contains(&reset_token)),
         }
     }
 }
--- a/tests/matrix/src/flows/truth.rs
+++ b/tests/matrix/src/flows/fleet.rs
@@ -1,4 +1,4 @@
-//! What is true of the fleet, and what one process holds of it.
+//! The state of the fleet: the actual one, and the copy that each process has.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -19,28 +19,28 @@
     AgentAddress(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7_000 + number))
 }
 
-/// A ring of both generations; `current` seals.
+/// Returns a key ring with generations 1 and 2; `current` is used for sealing.
 pub(crate) fn key_ring(current: u8) -> FleetKeys {
     let other = 3 - current;
     let secrets = [current, other].map(|number| {
         let generation = KeyGeneration(number);
         KeySecret::from_bytes(generation, [number; 32])
     });
-    FleetKeys::new(&secrets).expect("two unlike secrets are a ring")
+    FleetKeys::new(&secrets).expect("two distinct secrets form a key ring")
 }
 
-/// The fleet as one process holds it.
+/// Targets, addresses and configuration revision, as they are or as one process knows them.
 #[derive(Clone, Debug)]
-pub(crate) struct FleetTruth {
+pub(crate) struct FleetState {
     pub(crate) revision: u64,
-    /// The service that the callers' address leads to.
+    /// The service that owns the address used by callers.
     pub(crate) address_service: ServiceId,
     pub(crate) targets: Vec<(ServiceId, RingTarget)>,
     pub(crate) gone: Vec<AgentAddress>,
 }
 
-impl FleetTruth {
-    /// Four agents of the wanted service, two of the other.
+impl FleetState {
+    /// Creates a fleet of four agents of [`CLAIMS`] and two of [`MAPS`].
     pub(crate) fn new() -> Self {
         let target = |number: u16| {
             let service = if number < 4 { CLAIMS } else { MAPS };
@@ -74,37 +74,37 @@
     }
 
     pub(crate) fn move_target(&mut self, agent: AgentAddress, service: ServiceId) {
-        for (held, target) in &mut self.targets {
+        for (owner, target) in &mut self.targets {
             if target.agent == agent {
-                *held = service;
+                *owner = service;
                 target.standing = TargetStanding::Live;
             }
         }
     }
 
-    /// Whether an agent is listed as a target of the service and not suspected.
-    pub(crate) fn lives(&self, agent: AgentAddress, service: ServiceId) -> bool {
-        self.targets.iter().any(|(held, target)| {
-            *held == service
+    /// Returns whether an agent is listed as a target of the service and is not suspected.
+    pub(crate) fn is_unsuspected_target(&self, agent: AgentAddress, service: ServiceId) -> bool {
+        self.targets.iter().any(|(owner, target)| {
+            *owner == service
                 && target.agent == agent
                 && target.standing != TargetStanding::Suspected
         })
     }
 
     pub(crate) fn table(&self) -> RoutingTable {
-        let of = |service: ServiceId| -> Vec<RingTarget> {
-            let held = self.targets.iter().filter(|(held, _)| *held == service);
-            held.map(|(_, target)| *target).collect()
+        let targets_of = |service: ServiceId| -> Vec<RingTarget> {
+            let owned = self.targets.iter().filter(|(owner, _)| *owner == service);
+            owned.map(|(_, target)| *target).collect()
         };
         let (mut claims, mut maps) = (Vec::new(), vec![MAPS_ADDRESS]);
         match self.address_service {
             MAPS => maps.push(CLAIMS_ADDRESS),
             _ => claims.push(CLAIMS_ADDRESS),
         }
-        let earlier = RoutingTable::default();
-        TableBuilder::new(ConfigRevision(self.revision), &earlier)
-            .with_service(CLAIMS, claims, &of(CLAIMS))
-            .with_service(MAPS, maps, &of(MAPS))
+        let previous = RoutingTable::default();
+        TableBuilder::new(ConfigRevision(self.revision), &previous)
+            .with_service(CLAIMS, claims, &targets_of(CLAIMS))
+            .with_service(MAPS, maps, &targets_of(MAPS))
             .build()
             .with_gone(self.gone.iter().copied())
     }
--- a/tests/matrix/src/flows/mod.rs
+++ b/tests/matrix/src/flows/mod.rs
@@ -1,20 +1,21 @@
-//! An open flow: every packet reaches the agent that holds it, whatever the views say.
+//! Simulated QUIC flows: every packet of an open flow must reach the agent that holds it, even
+//! when the views of balancers and agents are wrong.
 //!
 //! ```text
 //! caller --datagram--> any balancer --forward frame--> agent [--one hop--> agent]
 //!    ^                                                   |
-//!    +---------------- answer, or stateless reset -------+
+//!    +---------------- response, or stateless reset -----+
 //! ```
 //!
-//! Callers speak as little QUIC as the decisions look at: real headers, connection IDs and
-//! retransmission, no encryption. Time is pressed together: a dead agent is suspected after
-//! 1 s and held to be gone after 3 s.
+//! Callers implement only the part of QUIC that routing decisions depend on: real headers,
+//! connection IDs and retransmission, but no encryption. Timeouts are shorter than in production:
+//! a crashed agent is suspected after 1 s and considered gone after 3 s.
 
 mod agent;
 mod balancer;
 mod caller;
-mod strike;
-mod truth;
+mod fault;
+mod fleet;
 mod world;
 
 pub use world::FlowWorld;
@@ -24,54 +25,54 @@
 use crate::history::MatrixHistory;
 use crate::plan::FaultPlan;
 
-/// The service that callers want.
+/// The service that callers open flows to.
 pub const CLAIMS: ServiceId = ServiceId(11);
 
-/// Another service.
+/// A second service, whose agents must not accept flows of [`CLAIMS`].
 pub const MAPS: ServiceId = ServiceId(22);
 
-/// What goes wrong with a flow.
+/// A fault that can be injected into a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowFault {
     /// Half of all datagrams are lost.
     Drop,
-    /// Nearly all datagrams come twice.
+    /// 90% of all datagrams are duplicated.
     Duplicate,
-    /// Most datagrams come up to a second late.
+    /// 70% of all datagrams are delayed by up to one second.
     Delay,
-    /// Datagrams overtake each other.
+    /// Datagrams are reordered.
     Reorder,
-    /// Targets change and one balancer does not hear of it.
+    /// The targets change and one balancer does not receive the update.
     StaleView,
-    /// Each balancer misses another target.
+    /// Each balancer's view lacks a different target.
     ViewsDiffer,
-    /// A balancer stops and wakes; what it held back goes on then.
+    /// A balancer pauses; packets that arrive meanwhile are forwarded when it resumes.
     BalancerPaused,
-    /// A balancer is replaced by one that knows nothing yet.
+    /// A balancer is replaced by one whose view is still empty.
     BalancerReplaced,
-    /// A balancer reaches no agent.
-    BalancerCutOff,
-    /// One balancer and the holder do not reach each other.
-    HolderCutOff,
-    /// The holder stops for a while; its peers suspect it.
+    /// A balancer cannot reach any agent.
+    BalancerIsolated,
+    /// One balancer cannot reach the holder.
+    HolderUnreachable,
+    /// The holder pauses, and its peers suspect it.
     HolderPaused,
-    /// One balancer holds the holder to be gone, and it lives.
-    HeldGone,
-    /// The holder takes no new flows.
+    /// One balancer considers the holder gone although it is alive.
+    HolderFalselyGone,
+    /// The holder announces that it is leaving and accepts no new flows.
     HolderLeaving,
-    /// The holder dies and a successor starts at its address.
+    /// The holder crashes and a new instance of its service starts at its address.
     HolderReplaced,
-    /// The holder dies.
-    HolderDead,
-    /// The holder dies and an instance of another service starts at its address.
-    InstanceMoved,
-    /// The service address passes to another service.
+    /// The holder crashes and is not replaced.
+    HolderCrashed,
+    /// The holder crashes and an instance of another service starts at its address.
+    HolderAddressReused,
+    /// The service address moves to another service.
     AddressMoved,
-    /// The processes switch to another key generation one after the other.
+    /// The processes switch to another key generation one by one.
     KeyRotation,
 }
 
-/// All of them.
+/// Every [`FlowFault`].
 pub const FLOW_FAULTS: [FlowFault; 18] = [
     FlowFault::Drop,
     FlowFault::Duplicate,
@@ -81,38 +82,38 @@
     FlowFault::ViewsDiffer,
     FlowFault::BalancerPaused,
     FlowFault::BalancerReplaced,
-    FlowFault::BalancerCutOff,
-    FlowFault::HolderCutOff,
+    FlowFault::BalancerIsolated,
+    FlowFault::HolderUnreachable,
     FlowFault::HolderPaused,
-    FlowFault::HeldGone,
+    FlowFault::HolderFalselyGone,
     FlowFault::HolderLeaving,
     FlowFault::HolderReplaced,
-    FlowFault::HolderDead,
-    FlowFault::InstanceMoved,
+    FlowFault::HolderCrashed,
+    FlowFault::HolderAddressReused,
     FlowFault::AddressMoved,
     FlowFault::KeyRotation,
 ];
 
-/// The steps of a flow.
+/// A step of a flow before which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowStep {
     /// The first datagram of the handshake.
     FirstInitial,
     /// The second datagram of the handshake.
     SecondInitial,
-    /// The agent issues its first connection ID.
+    /// The agent has issued its first connection ID.
     TokenIssued,
-    /// The caller's first packet with a token.
+    /// The caller's first packet that carries a flow token.
     Handshake,
     /// A packet of the open flow.
     Data,
-    /// A packet from another address of the caller.
+    /// A packet from a new address of the caller.
     AddressChange,
-    /// A later packet.
+    /// A later packet, from the same new address.
     MoreData,
 }
 
-/// All of them, in order.
+/// Every [`FlowStep`], in the order in which a flow reaches them.
 pub const FLOW_STEPS: [FlowStep; 7] = [
     FlowStep::FirstInitial,
     FlowStep::SecondInitial,
@@ -123,19 +124,22 @@
     FlowStep::MoreData,
 ];
 
-/// What keeps the promises; each can be switched off.
+/// The mechanisms that the guarantees depend on.
+///
+/// Tests disable them one at a time to verify that the checks detect it.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowMechanisms {
-    /// Balancers read the token, and do not place open flows by their view.
+    /// Balancers route open flows by their flow token instead of placing them by their view.
     pub tokens: bool,
-    /// An agent resets another one's flow only when its own view agrees.
+    /// An agent resets a flow that another agent held only if its own view, too, no longer lists
+    /// the holder as alive.
     pub two_views: bool,
-    /// Balancers and agents refuse a flow of another service.
+    /// Balancers and agents refuse flows of another service.
     pub service_check: bool,
-    /// A reset is made with the key generation that the connection ID names.
-    pub generation_of_reset: bool,
-    /// Agents that are gone become known.
-    pub absence: bool,
+    /// A reset is computed with the key generation named by the connection ID.
+    pub reset_generation: bool,
+    /// Balancers learn which agents are gone.
+    pub absence_tracking: bool,
 }
 
 impl Default for FlowMechanisms {
@@ -144,17 +148,17 @@
             tokens: true,
             two_views: true,
             service_check: true,
-            generation_of_reset: true,
-            absence: true,
+            reset_generation: true,
+            absence_tracking: true,
         }
     }
 }
 
-/// Plays some flows under the faults of a plan.
+/// Simulates a few flows while injecting the faults of a plan.
 #[must_use]
-pub fn play_flows(
+pub fn run_flows(
     plan: &FaultPlan<FlowFault, FlowStep>,
     mechanisms: FlowMechanisms,
 ) -> MatrixHistory {
-    FlowWorld::new(plan.clone(), mechanisms).play()
+    FlowWorld::new(plan.clone(), mechanisms).run()
 }
--- a/tests/matrix/src/flows/world.rs
+++ b/tests/matrix/src/flows/world.rs
@@ -1,4 +1,4 @@
-//! The network between callers, balancers and agents, and the course of a run.
+//! The simulation loop and the network between callers, balancers and agents.
 
 use std::net::SocketAddrV4;
 
@@ -6,10 +6,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::agent::{AgentReply, Arrival, FlowAgent};
+use super::agent::{AgentReply, ArrivalOutcome, FlowAgent};
 use super::balancer::FlowBalancer;
 use super::caller::FlowCaller;
-use super::truth::{FleetTruth, agent_address, key_ring};
+use super::fleet::{FleetState, agent_address, key_ring};
 use super::{CLAIMS, FLOW_STEPS, FlowFault, FlowMechanisms, FlowStep, MAPS};
 use crate::history::{AgentStart, MatrixEvent, MatrixHistory};
 use crate::plan::FaultPlan;
@@ -18,69 +18,68 @@
 const BALANCERS: usize = 3;
 const CALLERS: u64 = 4;
 
-/// Milliseconds between two packets of a caller.
-const PACE: u64 = 300;
+/// The interval between two packets of a caller.
+const PACKET_INTERVAL_MS: u64 = 300;
 
-/// Milliseconds between two retransmissions.
-const RETRANSMIT: u64 = 250;
+const RETRANSMIT_INTERVAL_MS: u64 = 250;
 
-/// Milliseconds without an answer after which a caller takes its flow for lost.
-const IDLE_TIMEOUT: u64 = 12_000;
+/// How long a packet may stay unacknowledged before the caller considers its flow lost.
+const IDLE_TIMEOUT_MS: u64 = 12_000;
 
-/// Packets of one flow.
-const PACKETS: u32 = 9;
+const PACKETS_PER_FLOW: u32 = 9;
 
 #[derive(Clone, Debug)]
 pub(crate) enum FlowEvent {
-    Begin(u64),
+    OpenFlow(u64),
     Send(u64, u32),
     Retransmit(u64, u32),
     IdleCheck(u64, u32),
-    AtBalancer(usize, SocketAddrV4, Vec<u8>),
-    AtAgent(AgentAddress, Vec<u8>),
-    AtCaller(u64, AgentReply),
-    /// A balancer (below `BALANCERS`) or an agent takes over what is true now.
-    Refresh(usize),
+    DeliverToBalancer(usize, SocketAddrV4, Vec<u8>),
+    DeliverToAgent(AgentAddress, Vec<u8>),
+    DeliverToCaller(u64, AgentReply),
+    /// A process updates its view to the current state: a balancer if the number is below
+    /// `BALANCERS`, otherwise the agent with that number minus `BALANCERS`.
+    RefreshView(usize),
     RotateKeys(usize),
     Heal(FlowFault, AgentAddress, usize),
     Suspect(AgentAddress),
-    HoldGone(AgentAddress),
-    StartAgain(AgentAddress),
+    MarkGone(AgentAddress),
+    Restart(AgentAddress),
 }
 
-/// What the network does to datagrams.
+/// The impairments of the simulated network.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FlowNetwork {
-    pub(crate) drop: f64,
-    pub(crate) duplicate: f64,
-    pub(crate) late: f64,
-    pub(crate) jitter: u64,
+    pub(crate) drop_probability: f64,
+    pub(crate) duplicate_probability: f64,
+    pub(crate) delay_probability: f64,
+    pub(crate) jitter_ms: u64,
 }
 
-/// Callers, balancers and agents with one queue.
+/// Simulated callers, balancers and agents, driven by one event queue.
 pub struct FlowWorld {
     pub(crate) plan: FaultPlan<FlowFault, FlowStep>,
     pub(crate) mechanisms: FlowMechanisms,
     pub(crate) rng: SmallRng,
     pub(crate) queue: EventQueue<FlowEvent>,
     pub(crate) network: FlowNetwork,
-    pub(crate) truth: FleetTruth,
+    pub(crate) fleet: FleetState,
     pub(crate) balancers: Vec<FlowBalancer>,
     pub(crate) agents: Vec<FlowAgent>,
     callers: Vec<FlowCaller>,
     pub(crate) generation: u8,
-    /// Steps whose faults have struck.
-    struck: Vec<FlowStep>,
+    /// Steps whose faults have already been injected.
+    reached_steps: Vec<FlowStep>,
     pub(crate) history: MatrixHistory,
 }
 
 impl FlowWorld {
-    /// A world at its start.
+    /// Creates a world of three balancers and six agents in which no flow is open yet.
     #[must_use]
     pub fn new(plan: FaultPlan<FlowFault, FlowStep>, mechanisms: FlowMechanisms) -> Self {
-        let truth = FleetTruth::new();
+        let fleet = FleetState::new();
         let keys = key_ring(1);
-        let balancers = (0..BALANCERS).map(|_| FlowBalancer::new(keys.clone(), &truth));
+        let balancers = (0..BALANCERS).map(|_| FlowBalancer::new(keys.clone(), &fleet));
         let agents = (0..6).map(|number| {
             let agent = agent_address(number);
             let service = if number < 4 { CLAIMS } else { MAPS };
@@ -88,7 +87,7 @@
                 AgentStart { agent, start: 1 },
                 service,
                 keys.clone(),
-                &truth,
+                &fleet,
             )
         });
         Self {
@@ -100,26 +99,26 @@
             agents: agents.collect(),
             callers: Vec::new(),
             generation: 1,
-            struck: Vec::new(),
+            reached_steps: Vec::new(),
             history: MatrixHistory::default(),
-            truth,
+            fleet,
             plan,
         }
     }
 
-    /// Plays to the end.
+    /// Runs until no event is left and returns what happened.
     #[must_use]
-    pub fn play(mut self) -> MatrixHistory {
+    pub fn run(mut self) -> MatrixHistory {
         for flow in 0..CALLERS {
-            let chosen = self.rng.random();
-            self.callers.push(FlowCaller::new(flow, chosen));
-            // The last one opens its flow when all is over.
-            let begin = if flow + 1 == CALLERS {
+            let initial_id = self.rng.random();
+            self.callers.push(FlowCaller::new(flow, initial_id));
+            // The last flow opens after all faults have ended.
+            let start_ms = if flow + 1 == CALLERS {
                 5_000
             } else {
                 flow * 170
             };
-            self.queue.push(begin, FlowEvent::Begin(flow));
+            self.queue.push(start_ms, FlowEvent::OpenFlow(flow));
         }
         while let Some(event) = self.queue.pop() {
             self.handle(event);
@@ -127,41 +126,41 @@
         self.history
     }
 
-    pub(crate) fn note(&mut self, event: MatrixEvent) {
+    pub(crate) fn record(&mut self, event: MatrixEvent) {
         self.history.note(self.queue.now(), event);
     }
 
     fn handle(&mut self, event: FlowEvent) {
         match event {
-            FlowEvent::Begin(flow) => self.begin(flow),
+            FlowEvent::OpenFlow(flow) => self.open_flow(flow),
             FlowEvent::Send(flow, number) => self.send_first(flow, number),
             FlowEvent::Retransmit(flow, number) => self.retransmit(flow, number),
             FlowEvent::IdleCheck(flow, number) => self.check_idle(flow, number),
-            FlowEvent::AtBalancer(number, caller, datagram) => {
-                self.at_balancer(number, caller, datagram);
+            FlowEvent::DeliverToBalancer(number, caller, datagram) => {
+                self.deliver_to_balancer(number, caller, datagram);
             }
-            FlowEvent::AtAgent(agent, frame) => self.at_agent(agent, frame),
-            FlowEvent::AtCaller(flow, reply) => self.at_caller(flow, reply),
-            FlowEvent::Refresh(number) => self.refresh(number),
+            FlowEvent::DeliverToAgent(agent, frame) => self.deliver_to_agent(agent, frame),
+            FlowEvent::DeliverToCaller(flow, reply) => self.deliver_to_caller(flow, reply),
+            FlowEvent::RefreshView(number) => self.refresh_view(number),
             FlowEvent::RotateKeys(number) => self.rotate_keys(number),
             FlowEvent::Heal(fault, holder, balancer) => self.heal(fault, holder, balancer),
             FlowEvent::Suspect(agent) => self.suspect(agent),
-            FlowEvent::HoldGone(agent) => self.hold_gone(agent),
-            FlowEvent::StartAgain(agent) => self.start_again(agent),
+            FlowEvent::MarkGone(agent) => self.mark_gone(agent),
+            FlowEvent::Restart(agent) => self.restart_agent(agent),
         }
     }
 
-    fn begin(&mut self, flow: u64) {
+    fn open_flow(&mut self, flow: u64) {
         if flow == 0 {
-            self.reach(FlowStep::FirstInitial);
+            self.reach_step(FlowStep::FirstInitial);
         }
-        let service = self.truth.address_service;
-        // While views disagree, nobody can say which service the address leads to.
+        let service = self.fleet.address_service;
+        // While the address moves, views disagree on its service, so no service is expected.
         let settled = service == CLAIMS || flow + 1 == CALLERS;
         let service = settled.then_some(service);
-        self.note(MatrixEvent::FlowOpened { flow, service });
-        for number in 0..PACKETS {
-            let at = PACE * u64::from(number);
+        self.record(MatrixEvent::FlowOpened { flow, service });
+        for number in 0..PACKETS_PER_FLOW {
+            let at = PACKET_INTERVAL_MS * u64::from(number);
             self.queue.push(at, FlowEvent::Send(flow, number));
         }
     }
@@ -180,7 +179,7 @@
             _ => None,
         };
         if let Some(step) = step.filter(|_| flow == 0) {
-            self.reach(step);
+            self.reach_step(step);
         }
         let caller = self.caller(flow);
         if caller.ended {
@@ -189,132 +188,135 @@
         if number == 5 {
             caller.change_address(1);
         }
-        caller.unanswered.insert(number);
+        caller.unacknowledged.insert(number);
         self.queue
-            .push(IDLE_TIMEOUT, FlowEvent::IdleCheck(flow, number));
+            .push(IDLE_TIMEOUT_MS, FlowEvent::IdleCheck(flow, number));
         self.retransmit(flow, number);
     }
 
     fn retransmit(&mut self, flow: u64, number: u32) {
         let caller = self.caller(flow);
-        if caller.ended || !caller.unanswered.contains(&number) {
+        if caller.ended || !caller.unacknowledged.contains(&number) {
             return;
         }
         let (from, datagram) = (caller.address, caller.datagram(number));
         self.queue
-            .push(RETRANSMIT, FlowEvent::Retransmit(flow, number));
+            .push(RETRANSMIT_INTERVAL_MS, FlowEvent::Retransmit(flow, number));
         if let Some(datagram) = datagram {
             let balancer = self.rng.random_range(0..BALANCERS);
-            self.carry(FlowEvent::AtBalancer(balancer, from, datagram));
+            self.transmit(FlowEvent::DeliverToBalancer(balancer, from, datagram));
         }
     }
 
     fn check_idle(&mut self, flow: u64, number: u32) {
         let caller = self.caller(flow);
-        if !caller.ended && caller.unanswered.contains(&number) {
+        if !caller.ended && caller.unacknowledged.contains(&number) {
             caller.ended = true;
-            self.note(MatrixEvent::FlowSilent { flow });
+            self.record(MatrixEvent::FlowSilent { flow });
         }
     }
 
-    /// Lets the network have a datagram.
-    fn carry(&mut self, event: FlowEvent) {
+    /// Schedules the delivery of a datagram, subject to the impairments of the network.
+    fn transmit(&mut self, event: FlowEvent) {
         let network = self.network;
-        let copies = 1 + usize::from(self.rng.random_bool(network.duplicate));
+        let copies = 1 + usize::from(self.rng.random_bool(network.duplicate_probability));
         for _ in 0..copies {
-            if self.rng.random_bool(network.drop) {
+            if self.rng.random_bool(network.drop_probability) {
                 continue;
             }
-            let mut delay = self.rng.random_range(1..4) + self.rng.random_range(0..=network.jitter);
-            if self.rng.random_bool(network.late) {
+            let mut delay =
+                self.rng.random_range(1..4) + self.rng.random_range(0..=network.jitter_ms);
+            if self.rng.random_bool(network.delay_probability) {
                 delay += self.rng.random_range(50..1_000);
             }
             self.queue.push(delay, event.clone());
         }
     }
 
-    fn at_balancer(&mut self, number: usize, caller: SocketAddrV4, datagram: Vec<u8>) {
+    fn deliver_to_balancer(&mut self, number: usize, caller: SocketAddrV4, datagram: Vec<u8>) {
         let balancer = &mut self.balancers[number];
         if balancer.paused {
-            balancer.held_back.push((caller, datagram));
+            balancer.pending_datagrams.push((caller, datagram));
             return;
         }
         if let Some((agent, frame)) = balancer.forward(caller, &datagram, self.mechanisms) {
-            self.carry(FlowEvent::AtAgent(agent, frame));
+            self.transmit(FlowEvent::DeliverToAgent(agent, frame));
         }
     }
 
-    fn at_agent(&mut self, address: AgentAddress, frame: Vec<u8>) {
+    fn deliver_to_agent(&mut self, address: AgentAddress, frame: Vec<u8>) {
         let Some(number) = self.running_agent(address) else {
             return;
         };
         let agent = &mut self.agents[number];
         if agent.paused {
-            agent.held_back.push(frame);
+            agent.pending_frames.push(frame);
             return;
         }
         let (start, service) = (agent.start, agent.service);
-        match agent.receive(&frame, self.mechanisms) {
-            Arrival::Dropped => {}
-            Arrival::HandedOn(to, frame) => self.carry(FlowEvent::AtAgent(to, frame)),
-            Arrival::Reset(datagram, reply) => {
-                self.carry(FlowEvent::AtCaller(datagram.flow, reply));
+        match agent.handle_frame(&frame, self.mechanisms) {
+            ArrivalOutcome::Dropped => {}
+            ArrivalOutcome::Forwarded(to, frame) => {
+                self.transmit(FlowEvent::DeliverToAgent(to, frame));
             }
-            Arrival::Taken {
+            ArrivalOutcome::Reset(datagram, reply) => {
+                self.transmit(FlowEvent::DeliverToCaller(datagram.flow, reply));
+            }
+            ArrivalOutcome::Accepted {
                 datagram,
                 open,
                 issued,
                 reply,
             } => {
                 let flow = datagram.flow;
-                self.note(MatrixEvent::PacketTaken {
+                self.record(MatrixEvent::PacketTaken {
                     flow,
                     taker: start,
                     service,
                     open,
                 });
                 if issued && flow == 0 {
-                    self.reach(FlowStep::TokenIssued);
+                    self.reach_step(FlowStep::TokenIssued);
                 }
                 if let Some(reply) = reply {
-                    self.carry(FlowEvent::AtCaller(flow, reply));
+                    self.transmit(FlowEvent::DeliverToCaller(flow, reply));
                 }
             }
         }
     }
 
-    fn at_caller(&mut self, flow: u64, reply: AgentReply) {
+    fn deliver_to_caller(&mut self, flow: u64, reply: AgentReply) {
         let caller = self.caller(flow);
         if caller.ended {
             return;
         }
-        let (holder, reset) = caller.hear(reply);
+        let (holder, reset) = caller.handle_reply(reply);
         caller.ended |= reset;
         if let Some(holder) = holder {
-            self.note(MatrixEvent::FlowHeld { flow, holder });
+            self.record(MatrixEvent::FlowHeld { flow, holder });
         }
         if reset {
-            self.note(MatrixEvent::FlowReset { flow });
+            self.record(MatrixEvent::FlowReset { flow });
         }
     }
 
-    /// The faults of a step strike once, before it.
-    fn reach(&mut self, step: FlowStep) {
+    /// Injects the faults planned for a step, when the step is reached for the first time.
+    fn reach_step(&mut self, step: FlowStep) {
         debug_assert!(FLOW_STEPS.contains(&step));
-        if self.struck.contains(&step) {
+        if self.reached_steps.contains(&step) {
             return;
         }
-        self.struck.push(step);
+        self.reached_steps.push(step);
         let faults: Vec<FlowFault> = self.plan.faults_at(step).collect();
         for fault in faults {
-            self.note(MatrixEvent::Fault(format!("{fault:?} at {step:?}")));
-            self.strike(fault);
+            self.record(MatrixEvent::Fault(format!("{fault:?} at {step:?}")));
+            self.inject(fault);
         }
     }
 
-    /// The agent that holds flow 0, or the one that its first packet most likely reaches.
+    /// Returns the agent that holds flow 0, or the last one that accepted a packet of it.
     pub(crate) fn holder(&self) -> AgentAddress {
-        let held = self.callers.first().and_then(|caller| caller.holder);
+        let holder = self.callers.first().and_then(|caller| caller.holder);
         let fallback = self
             .history
             .events
@@ -324,7 +326,8 @@
                 MatrixEvent::PacketTaken { flow: 0, taker, .. } => Some(taker.agent),
                 _ => None,
             });
-        held.map(|holder| holder.agent)
+        holder
+            .map(|holder| holder.agent)
             .or(fallback)
             .unwrap_or(agent_address(0))
     }
--- a/tests/matrix/tests/all/flows.rs
+++ b/tests/matrix/tests/all/flows.rs
@@ -1,7 +1,7 @@
 //! Flows under every fault at every step.
 
 use lovagelatch_matrix::MatrixReport;
-use lovagelatch_matrix::flows::{FLOW_FAULTS, FLOW_STEPS, FlowMechanisms, play_flows};
+use lovagelatch_matrix::flows::{FLOW_FAULTS, FLOW_STEPS, FlowMechanisms, run_flows};
 
 const SEEDS: u64 = 6;
 const PAIRS: u64 = 1_000;
@@ -14,7 +14,7 @@
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("flow, one fault");
     report.play_singles(&FLOW_FAULTS, &FLOW_STEPS, 0..SEEDS, |plan| {
-        play_flows(plan, FlowMechanisms::default())
+        run_flows(plan, FlowMechanisms::default())
     });
     report.assert_sound();
 }
@@ -25,7 +25,7 @@
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("flow, two faults");
     report.play_pairs(&FLOW_FAULTS, &FLOW_STEPS, PAIRS, |plan| {
-        play_flows(plan, FlowMechanisms::default())
+        run_flows(plan, FlowMechanisms::default())
     });
     report.assert_sound();
 }
@@ -56,11 +56,11 @@
         ..on
     };
     let no_generation = FlowMechanisms {
-        generation_of_reset: false,
+        reset_generation: false,
         ..on
     };
     let no_absence = FlowMechanisms {
-        absence: false,
+        absence_tracking: false,
         ..on
     };
     [
@@ -80,7 +80,7 @@
     for case in switched() {
         let mut report = MatrixReport::new("flow, one mechanism off");
         report.play_pairs(&FLOW_FAULTS, &FLOW_STEPS, SWITCHED_PAIRS, |plan| {
-            play_flows(plan, case.mechanisms)
+            run_flows(plan, case.mechanisms)
         });
         report.assert_notices(case.mechanism, case.promise);
     }
