--- a/tests/matrix/src/requests/agent.rs
+++ b/tests/matrix/src/requests/agent.rs
@@ -1,4 +1,4 @@
-//! An agent: what its tasks hold around the shipped decisions, and its own gate.
+//! A simulated agent: the state that its tasks keep around the shipped libraries, and its gate.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,16 +15,16 @@
     PlacementChoice, PlacementSettings, RequestGate, RetryBudget, SlotOutcome,
 };
 
-use super::job::{Job, JobEnd, JobPhase, ReplyTo};
+use super::job::{Job, JobOutcome, JobPhase, ReplyTo};
 use super::ticket::FilingWaiter;
 use super::world::{RequestEvent, RequestWorld};
-use super::{RequestStep, strike::TICKET_LIFETIME};
+use super::{RequestStep, fault::TICKET_LIFETIME};
 
-/// Requests that a backend server runs at once.
+/// The number of requests that a backend server runs concurrently.
 pub(crate) const SLOTS: u16 = 2;
 
-/// After this time without a report a peer is suspected.
-const SUSPECT: Duration = Duration::from_secs(1);
+/// How long a peer sends no report before it is suspected.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(crate) fn agent_address(number: usize) -> AgentAddress {
     let port = 7_000 + u16::try_from(number).unwrap_or(0);
@@ -36,12 +36,12 @@
         .iter()
         .map(|&number| KeySecret::from_bytes(KeyGeneration(number), [number; 32]))
         .collect();
-    FleetKeys::new(&secrets).expect("one or two unlike secrets are a ring")
+    FleetKeys::new(&secrets).expect("one or two distinct secrets form a key ring")
 }
 
 pub(crate) struct FakeAgent {
     pub(crate) address: AgentAddress,
-    /// Which start at its address.
+    /// The number of this start at its address, from 1.
     pub(crate) start: u64,
     pub(crate) service: &'static str,
     pub(crate) running: bool,
@@ -55,8 +55,8 @@
     pub(crate) jobs: BTreeMap<u64, Job>,
     next_job: u64,
     pub(crate) waiters: HashMap<AttemptId, Vec<FilingWaiter>>,
-    /// The newest report that its peers have of it.
-    pub(crate) reported: (GateReport, Moment),
+    /// The newest report that its peers have received from it, and when.
+    pub(crate) last_report: (GateReport, Moment),
 }
 
 impl FakeAgent {
@@ -75,7 +75,7 @@
             paused_until: Moment::ZERO,
             leaving: false,
             keys: key_ring(&[1, 2]),
-            reported: (gate.report(now), now),
+            last_report: (gate.report(now), now),
             gate,
             ledger: RequestLedger::new(LedgerSettings::new(address, incarnation, TICKET_LIFETIME)),
             placement: PeerPlacement::new(settings),
@@ -88,38 +88,44 @@
 }
 
 impl RequestWorld {
-    /// Takes a job in and runs it: at its home, or at the gate that placement chooses.
+    /// Starts a job: relays it to its home, or runs it at the gate that placement chooses, or at
+    /// the local gate if the choice was made elsewhere.
     pub(crate) fn start_job(&mut self, agent: usize, job: Job) {
         let now = self.queue.now();
-        let own = &mut self.agents[agent];
-        let id = own.next_job;
-        own.next_job += 1;
-        let (home, dispatches) = (job.home, job.dispatches());
-        own.jobs.insert(id, job);
+        let local = &mut self.agents[agent];
+        let id = local.next_job;
+        local.next_job += 1;
+        let (home, chooses_gate) = (job.home, job.chooses_gate());
+        local.jobs.insert(id, job);
         if let Some(home) = home {
             return self.relay(agent, id, home);
         }
-        if dispatches {
-            own.budget.record_request(now);
+        if chooses_gate {
+            local.budget.record_request(now);
             return self.place(agent, id);
         }
-        self.run_own(agent, id);
+        self.run_at_local_gate(agent, id);
     }
 
     fn place(&mut self, agent: usize, id: u64) {
         let now = self.queue.now();
         let peers = self.peer_reports(agent);
-        let own = &mut self.agents[agent];
-        let Some(job) = own.jobs.get(&id) else { return };
-        let report = own.gate.report(now);
-        let left = job.time_left(now);
-        match own.placement.choose(&report, &peers, &job.tried, left, now) {
-            PlacementChoice::Own => self.run_own(agent, id),
+        let local = &mut self.agents[agent];
+        let Some(job) = local.jobs.get(&id) else {
+            return;
+        };
+        let report = local.gate.report(now);
+        let time_left = job.time_left(now);
+        match local
+            .placement
+            .choose(&report, &peers, &job.tried, time_left, now)
+        {
+            PlacementChoice::Own => self.run_at_local_gate(agent, id),
             PlacementChoice::Peer(peer) => self.relay(agent, id, peer),
             PlacementChoice::Refuse {
                 reason,
                 retry_after,
-            } => self.end_job(agent, id, JobEnd::NotRun(reason, retry_after)),
+            } => self.finish_job(agent, id, JobOutcome::NotRun(reason, retry_after)),
         }
     }
 
@@ -130,15 +136,16 @@
         let reports = peers.map(|(_, peer)| PeerReport {
             agent: peer.address,
             zone: "lahore-a".parse().expect("a valid name"),
-            report: peer.reported.0,
-            received: peer.reported.1,
-            suspected: now.since(peer.reported.1) > SUSPECT,
+            report: peer.last_report.0,
+            received: peer.last_report.1,
+            suspected: now.since(peer.last_report.1) > SUSPICION_TIMEOUT,
         });
         reports.collect()
     }
 
-    /// After a proof that it did not run: once more elsewhere, while budget and time last.
-    pub(crate) fn refused(
+    /// Handles a refusal, which proves that the job has not run: retries it at another gate while
+    /// retry budget and time allow.
+    pub(crate) fn handle_refusal(
         &mut self,
         agent: usize,
         id: u64,
@@ -147,25 +154,25 @@
         retry_after: Duration,
     ) {
         let now = self.queue.now();
-        let own = &mut self.agents[agent];
-        let Some(job) = own.jobs.get_mut(&id) else {
+        let local = &mut self.agents[agent];
+        let Some(job) = local.jobs.get_mut(&id) else {
             return;
         };
         job.tried.push(gate);
-        let in_time = job.time_left(now) > job.reserve();
-        let again = job.dispatches() && in_time && job.retries > 0 && own.budget.try_spend(now);
-        if again {
+        let in_time = job.time_left(now) > job.cancel_reserve();
+        let retry = job.chooses_gate() && in_time && job.retries > 0 && local.budget.try_spend(now);
+        if retry {
             job.retries -= 1;
             job.phase = JobPhase::New;
             return self.place(agent, id);
         }
-        self.end_job(agent, id, JobEnd::NotRun(reason, retry_after));
+        self.finish_job(agent, id, JobOutcome::NotRun(reason, retry_after));
     }
 
-    pub(crate) fn run_own(&mut self, agent: usize, id: u64) {
+    pub(crate) fn run_at_local_gate(&mut self, agent: usize, id: u64) {
         let now = self.queue.now();
-        let own = &mut self.agents[agent];
-        let Some(job) = own.jobs.get_mut(&id) else {
+        let local = &mut self.agents[agent];
+        let Some(job) = local.jobs.get_mut(&id) else {
             return;
         };
         let request = GateRequest {
@@ -174,47 +181,47 @@
             arrived: job.arrived,
             deadline: job.deadline,
         };
-        let address = own.address;
-        match own.gate.offer(request, now) {
-            GateVerdict::Start => self.hand_to_backend(agent, id),
+        let address = local.address;
+        match local.gate.offer(request, now) {
+            GateVerdict::Start => self.send_to_backend(agent, id),
             GateVerdict::Queued => {
                 job.phase = JobPhase::Queued;
-                self.reach(RequestStep::Queued, agent, agent);
-                self.wake_gate(agent);
+                self.reach_step(RequestStep::Queued, agent, agent);
+                self.schedule_gate_wakeup(agent);
             }
             GateVerdict::Refused {
                 reason,
                 retry_after,
-            } => self.refused(agent, id, address, reason, retry_after),
-            GateVerdict::Duplicate => self.end_job(agent, id, JobEnd::Unknown),
+            } => self.handle_refusal(agent, id, address, reason, retry_after),
+            GateVerdict::Duplicate => self.finish_job(agent, id, JobOutcome::Unknown),
         }
     }
 
-    fn wake_gate(&mut self, agent: usize) {
-        let own = &self.agents[agent];
-        if let Some(at) = own.gate.next_wakeup() {
+    fn schedule_gate_wakeup(&mut self, agent: usize) {
+        let local = &self.agents[agent];
+        if let Some(at) = local.gate.next_wakeup() {
             let wait = at.since(self.queue.now()).as_millis();
             let wait = u64::try_from(wait).unwrap_or(0) + 1;
-            let event = RequestEvent::GateWake(agent, own.start);
+            let event = RequestEvent::AdvanceGate(agent, local.start);
             self.queue.push(wait, event);
         }
     }
 
-    pub(crate) fn gate_wakes(&mut self, agent: usize) {
+    pub(crate) fn advance_gate(&mut self, agent: usize) {
         let now = self.queue.now();
         let actions = self.agents[agent].gate.advance(now);
-        self.act(agent, &actions);
+        self.execute_gate_actions(agent, &actions);
     }
 
     pub(crate) fn set_leaving(&mut self, agent: usize) {
         let now = self.queue.now();
-        let own = &mut self.agents[agent];
-        own.leaving = true;
-        let actions = own.gate.set_condition(GateCondition::Leaving, now);
-        self.act(agent, &actions);
+        let local = &mut self.agents[agent];
+        local.leaving = true;
+        let actions = local.gate.set_condition(GateCondition::Leaving, now);
+        self.execute_gate_actions(agent, &actions);
     }
 
-    fn act(&mut self, agent: usize, actions: &[GateAction]) {
+    fn execute_gate_actions(&mut self, agent: usize, actions: &[GateAction]) {
         for action in actions {
             let (GateAction::Start(attempt) | GateAction::Refuse { attempt, .. }) = *action;
             let jobs = self.agents[agent].jobs.iter();
@@ -222,37 +229,40 @@
                 jobs.filter(|(_, job)| job.attempt == attempt && job.phase == JobPhase::Queued);
             let Some(id) = queued.next().map(|(id, _)| *id) else {
                 if matches!(action, GateAction::Start(_)) {
-                    self.free_slot(agent, attempt, SlotOutcome::Lost);
+                    self.release_slot(agent, attempt, SlotOutcome::Lost);
                 }
                 continue;
             };
             match *action {
-                GateAction::Start(_) => self.hand_to_backend(agent, id),
+                GateAction::Start(_) => self.send_to_backend(agent, id),
                 GateAction::Refuse {
                     reason,
                     retry_after,
                     ..
                 } => {
                     let address = self.agents[agent].address;
-                    self.refused(agent, id, address, reason, retry_after);
+                    self.handle_refusal(agent, id, address, reason, retry_after);
                 }
             }
         }
     }
 
-    pub(crate) fn free_slot(&mut self, agent: usize, attempt: AttemptId, end: SlotOutcome) {
+    pub(crate) fn release_slot(&mut self, agent: usize, attempt: AttemptId, outcome: SlotOutcome) {
         let now = self.queue.now();
-        let actions = self.agents[agent].gate.finish(attempt, end, now);
-        self.act(agent, &actions);
-        self.wake_gate(agent);
+        let actions = self.agents[agent].gate.finish(attempt, outcome, now);
+        self.execute_gate_actions(agent, &actions);
+        self.schedule_gate_wakeup(agent);
     }
 
-    /// Takes a job out and tells its end.
-    pub(crate) fn end_job(&mut self, agent: usize, id: u64, end: JobEnd) {
-        let unknown = matches!(end, JobEnd::Unknown | JobEnd::Answered(_, false));
+    /// Removes a job and sends its outcome.
+    pub(crate) fn finish_job(&mut self, agent: usize, id: u64, outcome: JobOutcome) {
+        let unknown = matches!(
+            outcome,
+            JobOutcome::Unknown | JobOutcome::Responded(_, false)
+        );
         if unknown && !self.mechanisms.unknown_is_final {
-            let again = self.agents[agent].jobs.get_mut(&id);
-            if let Some(job) = again.filter(|job| job.dispatches() && job.retries > 0) {
+            let job = self.agents[agent].jobs.get_mut(&id);
+            if let Some(job) = job.filter(|job| job.chooses_gate() && job.retries > 0) {
                 job.retries -= 1;
                 job.phase = JobPhase::New;
                 return self.place(agent, id);
@@ -262,8 +272,8 @@
             return;
         };
         match job.reply {
-            ReplyTo::Filing => self.end_filing(agent, job.attempt, end),
-            reply => self.reply(agent, reply, job.attempt, &end),
+            ReplyTo::Filing => self.finish_filing(agent, job.attempt, outcome),
+            reply => self.reply(agent, reply, job.attempt, &outcome),
         }
     }
 }
--- a/tests/matrix/src/requests/backend.rs
+++ b/tests/matrix/src/requests/backend.rs
@@ -1,25 +1,25 @@
-//! A fake backend server: slots, work, cancellation, and its history.
+//! A fake backend server with slots, work, cancellation and a history.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lovagelatch_domain::{AttemptId, Moment};
 use lovagelatch_history::{BackendHistory, BackendRecord};
 
-use super::job::RunAnswer;
+use super::job::RunResponse;
 
-/// What it says of a request that arrives.
+/// What a backend server does with an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BackendVerdict {
     Started(u64),
     Shed,
-    /// It was cancelled before it came; nothing is answered.
+    /// The request was cancelled before it arrived; no response is sent.
     Cancelled,
 }
 
 pub(crate) struct FakeBackend {
     pub(crate) running: bool,
-    pub(crate) sheds: bool,
-    runs: BTreeMap<u64, (AttemptId, RunAnswer)>,
+    pub(crate) shedding: bool,
+    runs: BTreeMap<u64, (AttemptId, RunResponse)>,
     started: BTreeSet<AttemptId>,
     cancelled: BTreeSet<AttemptId>,
     next_run: u64,
@@ -35,7 +35,7 @@
     pub(crate) fn new(name: String, service: &str, slots: u16, first_run: u64) -> Self {
         Self {
             running: true,
-            sheds: false,
+            shedding: false,
             runs: BTreeMap::new(),
             started: BTreeSet::new(),
             cancelled: BTreeSet::new(),
@@ -63,7 +63,7 @@
             return BackendVerdict::Cancelled;
         }
         let full = self.runs.len() >= usize::from(self.slots);
-        if self.sheds || full {
+        if self.shedding || full {
             self.history.records.push(BackendRecord::Shed {
                 time_ms,
                 attempt: Some(attempt.to_string()),
@@ -74,8 +74,8 @@
         let run = self.next_run;
         self.next_run += 1;
         self.started.insert(attempt);
-        let answer = RunAnswer { call, filing, run };
-        self.runs.insert(run, (attempt, answer));
+        let response = RunResponse { call, filing, run };
+        self.runs.insert(run, (attempt, response));
         self.history.records.push(BackendRecord::Start {
             time_ms,
             run,
@@ -87,7 +87,7 @@
         BackendVerdict::Started(run)
     }
 
-    pub(crate) fn end(&mut self, run: u64, now: Moment) -> Option<(AttemptId, RunAnswer)> {
+    pub(crate) fn finish_run(&mut self, run: u64, now: Moment) -> Option<(AttemptId, RunResponse)> {
         let ended = self.runs.remove(&run)?;
         self.history.records.push(BackendRecord::End {
             time_ms: millis(now),
@@ -97,7 +97,7 @@
         Some(ended)
     }
 
-    /// Whether the attempt had not started; then it never will.
+    /// Cancels an attempt. Returns whether it had not started; if so, it never will.
     pub(crate) fn cancel(&mut self, attempt: AttemptId, now: Moment) -> bool {
         if self.started.contains(&attempt) {
             return false;
--- a/tests/matrix/src/requests/caller.rs
+++ b/tests/matrix/src/requests/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: calls with their own timeout; filings that are tried again and concurrently.
+//! Simulated callers: calls with a timeout, and filings that are submitted repeatedly and
+//! concurrently.
 
 use std::time::Duration;
 
@@ -6,34 +7,34 @@
 use lovagelatch_history::{CallerRecord, ObservedOutcome, RequestEnd, RequestKind, ResponseFlaw};
 
 use super::backend::millis;
-use super::job::{JobEnd, RunAnswer};
+use super::job::{JobOutcome, RunResponse};
 use super::world::{RequestEvent, RequestWorld};
 
-/// Most tries of one filing.
-const MOST_TRIES: u32 = 7;
+/// The maximum number of submissions of one filing.
+const MAX_SUBMISSIONS: u32 = 7;
 
-/// One try of something that a caller wants.
+/// One plain request, or one submission of a filing.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call {
     pub(crate) filing: Option<u64>,
     pub(crate) ended: bool,
 }
 
-/// Something that must run at most once.
+/// A filing, which must run at most once.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Filing {
     pub(crate) ticket: Option<String>,
-    pub(crate) tries: u32,
-    /// Tries under way.
-    pub(crate) open: u32,
-    /// It was told that it needs a fresh ticket. It takes one when no try with the old one is
-    /// under way: an end of such a try would speak of the old ticket alone.
+    pub(crate) submissions: u32,
+    /// Submissions in flight.
+    pub(crate) in_flight: u32,
+    /// Whether a refusal asked for a new ticket. It is fetched once no submission with the old
+    /// ticket is in flight, because the outcome of such a submission concerns the old ticket only.
     pub(crate) needs_ticket: bool,
     pub(crate) done: bool,
 }
 
 impl RequestWorld {
-    /// A new call, as the callers' history has it.
+    /// Creates a call and records it in the callers' history.
     pub(crate) fn new_call(&mut self, filing: Option<u64>) -> u64 {
         let call = self.calls.len() as u64;
         self.calls.push(Call {
@@ -58,23 +59,23 @@
         call
     }
 
-    /// One more try of a filing.
-    pub(crate) fn try_filing(&mut self, filing: u64) {
-        let held = &mut self.filings[usize::try_from(filing).unwrap_or(0)];
-        if held.done || held.needs_ticket || held.tries >= MOST_TRIES {
+    /// Submits a filing once more.
+    pub(crate) fn submit_filing(&mut self, filing: u64) {
+        let state = &mut self.filings[usize::try_from(filing).unwrap_or(0)];
+        if state.done || state.needs_ticket || state.submissions >= MAX_SUBMISSIONS {
             return;
         }
-        let Some(ticket) = held.ticket.clone() else {
+        let Some(ticket) = state.ticket.clone() else {
             return;
         };
-        held.tries += 1;
-        held.open += 1;
+        state.submissions += 1;
+        state.in_flight += 1;
         let call = self.new_call(Some(filing));
         self.send_call(call, Some(ticket));
     }
 
-    /// The caller hears of an end, or assumes it.
-    pub(crate) fn told(&mut self, call: u64, end: &JobEnd) {
+    /// Ends a call with the outcome that the caller received or assumes.
+    pub(crate) fn complete_call(&mut self, call: u64, job_outcome: &JobOutcome) {
         let index = usize::try_from(call).unwrap_or(0);
         if std::mem::replace(&mut self.calls[index].ended, true) {
             return;
@@ -88,13 +89,15 @@
             agent: None,
             reason: None,
         };
-        match end {
-            JobEnd::Answered(body, whole) => self.read_answer(&mut seen, call, body, *whole),
-            JobEnd::NotRun(reason, _) => {
+        match job_outcome {
+            JobOutcome::Responded(body, complete) => {
+                self.read_response(&mut seen, call, body, *complete);
+            }
+            JobOutcome::NotRun(reason, _) => {
                 seen.outcome = ObservedOutcome::NotRun;
                 seen.reason = Some(format!("{reason:?}"));
             }
-            JobEnd::Unknown => {}
+            JobOutcome::Unknown => {}
         }
         let outcome = seen.outcome;
         self.history.callers.push(CallerRecord::RequestEnded {
@@ -103,44 +106,46 @@
             end: seen,
         });
         if let Some(filing) = filing {
-            self.go_on(filing, outcome, end);
+            self.continue_filing(filing, outcome, job_outcome);
         }
     }
 
-    fn read_answer(&self, seen: &mut RequestEnd, call: u64, body: &[u8], whole: bool) {
+    fn read_response(&self, seen: &mut RequestEnd, call: u64, body: &[u8], complete: bool) {
         seen.status = 201;
-        let answer = RunAnswer::from_bytes(body);
-        let Some(answer) = answer.filter(|_| whole) else {
-            // The caller knows the length that was announced.
-            seen.flaw = Some(match whole {
+        let response = RunResponse::from_bytes(body);
+        let Some(response) = response.filter(|_| complete) else {
+            // The caller knows the announced length of the response.
+            seen.flaw = Some(match complete {
                 true => ResponseFlaw::CutClean,
                 false => ResponseFlaw::BrokeOff,
             });
             return;
         };
         seen.outcome = ObservedOutcome::Done;
-        if answer.call != call {
-            seen.answered_for = Some(answer.call.to_string());
+        if response.call != call {
+            seen.answered_for = Some(response.call.to_string());
         }
     }
 
-    /// What a caller does about its filing after one try of it has ended.
-    fn go_on(&mut self, filing: u64, outcome: ObservedOutcome, end: &JobEnd) {
-        let held = &mut self.filings[usize::try_from(filing).unwrap_or(0)];
-        let pause = 50 + 70 * u64::from(held.tries);
-        held.open -= 1;
-        held.done |= outcome == ObservedOutcome::Done;
-        let fresh = JobEnd::NotRun(RefusalReason::TicketNeeded, Duration::ZERO);
-        held.needs_ticket |= *end == fresh;
-        if held.done {
+    /// Schedules what a caller does about its filing after a submission of it has ended.
+    fn continue_filing(&mut self, filing: u64, outcome: ObservedOutcome, job_outcome: &JobOutcome) {
+        let state = &mut self.filings[usize::try_from(filing).unwrap_or(0)];
+        let backoff_ms = 50 + 70 * u64::from(state.submissions);
+        state.in_flight -= 1;
+        state.done |= outcome == ObservedOutcome::Done;
+        let needs_ticket = JobOutcome::NotRun(RefusalReason::TicketNeeded, Duration::ZERO);
+        state.needs_ticket |= *job_outcome == needs_ticket;
+        if state.done {
             return;
         }
-        if !held.needs_ticket {
-            self.queue.push(pause, RequestEvent::TryFiling(filing));
-        } else if held.open == 0 {
-            held.needs_ticket = false;
-            held.ticket = None;
-            self.queue.push(pause, RequestEvent::AskTicket(filing));
+        if !state.needs_ticket {
+            self.queue
+                .push(backoff_ms, RequestEvent::SubmitFiling(filing));
+        } else if state.in_flight == 0 {
+            state.needs_ticket = false;
+            state.ticket = None;
+            self.queue
+                .push(backoff_ms, RequestEvent::FetchTicket(filing));
         }
     }
 }
--- a/tests/matrix/src/requests/exchange.rs
+++ b/tests/matrix/src/requests/exchange.rs
@@ -1,4 +1,4 @@
-//! An agent's exchange with its own backend server: handing over, cancelling, the answer.
+//! An agent's exchanges with its local backend server: sending, cancelling, the response.
 
 use std::time::Duration;
 
@@ -6,35 +6,41 @@
 use lovagelatch_placement::SlotOutcome;
 
 use super::RequestStep;
-use super::job::{JobEnd, JobPhase, RunAnswer};
+use super::job::{JobOutcome, JobPhase, RunResponse};
 use super::world::{RequestEvent, RequestWorld};
 
-/// When to come back to a backend server that cannot be reached.
-const UNREACHED_RETRY: Duration = Duration::from_secs(1);
+/// The retry delay for refusals that involve the local backend server.
+const BACKEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl RequestWorld {
-    pub(crate) fn hand_to_backend(&mut self, agent: usize, id: u64) {
+    pub(crate) fn send_to_backend(&mut self, agent: usize, id: u64) {
         let now = self.queue.now();
         let start = self.agents[agent].start;
         let Some(job) = self.agents[agent].jobs.get_mut(&id) else {
             return;
         };
-        let backend = self.beside[agent];
+        let backend = self.local_backends[agent];
         job.phase = JobPhase::Running {
             backend,
             cancelling: false,
         };
         let (attempt, call, filing) = (job.attempt, job.call, job.filing);
-        let limit = job.time_left(now).saturating_sub(job.reserve());
+        let limit = job.time_left(now).saturating_sub(job.cancel_reserve());
         let limit = u64::try_from(limit.as_millis()).unwrap_or(0);
-        if !self.backends[self.beside[agent]].running {
-            self.free_slot(agent, attempt, SlotOutcome::Lost);
+        if !self.backends[self.local_backends[agent]].running {
+            self.release_slot(agent, attempt, SlotOutcome::Lost);
             let address = self.agents[agent].address;
-            return self.refused(agent, id, address, RefusalReason::NoTarget, UNREACHED_RETRY);
+            return self.handle_refusal(
+                agent,
+                id,
+                address,
+                RefusalReason::NoTarget,
+                BACKEND_RETRY_AFTER,
+            );
         }
-        let delay = 1 + self.late_handover;
-        let backend = self.beside[agent];
-        let arrival = RequestEvent::AtBackend {
+        let delay = 1 + self.backend_delay_ms;
+        let backend = self.local_backends[agent];
+        let arrival = RequestEvent::DeliverToBackend {
             backend,
             agent,
             start,
@@ -45,28 +51,29 @@
         };
         self.queue.push(delay, arrival);
         self.queue
-            .push(limit, RequestEvent::GiveUp(agent, start, id));
+            .push(limit, RequestEvent::CancelRun(agent, start, id));
     }
 
-    /// The backend server's end breaks all connections to it.
+    /// Kills the local backend server; all connections to it break.
     pub(crate) fn kill_backend(&mut self, agent: usize) {
-        let killed = self.beside[agent];
+        let killed = self.local_backends[agent];
         self.backends[killed].running = false;
-        let own = &self.agents[agent];
-        let at_it = own.jobs.iter().filter(
+        let local = &self.agents[agent];
+        let running = local.jobs.iter().filter(
             |(_, job)| matches!(job.phase, JobPhase::Running { backend, .. } if backend == killed),
         );
-        let lost: Vec<u64> = at_it.map(|(id, _)| *id).collect();
-        for id in lost {
-            let event = RequestEvent::FromBackend(agent, own.start, id, None);
+        let interrupted: Vec<u64> = running.map(|(id, _)| *id).collect();
+        for id in interrupted {
+            let event = RequestEvent::DeliverResponse(agent, local.start, id, None);
             self.queue.push(1, event);
         }
     }
 
-    /// The time for an answer is over: ask the backend server to cancel.
-    pub(crate) fn give_up(&mut self, agent: usize, id: u64) {
-        let own = &mut self.agents[agent];
-        let Some(job) = own.jobs.get_mut(&id) else {
+    /// Asks the backend server to cancel a run, because its response did not arrive in time or its
+    /// caller is gone.
+    pub(crate) fn cancel_run(&mut self, agent: usize, id: u64) {
+        let local = &mut self.agents[agent];
+        let Some(job) = local.jobs.get_mut(&id) else {
             return;
         };
         let JobPhase::Running {
@@ -81,18 +88,18 @@
             cancelling: true,
         };
         let attempt = job.attempt;
-        let limit = u64::try_from(job.reserve().as_millis()).unwrap_or(0);
-        let start = own.start;
-        let timeout = RequestEvent::CancelEnd(agent, start, id, None);
+        let limit = u64::try_from(job.cancel_reserve().as_millis()).unwrap_or(0);
+        let start = local.start;
+        let timeout = RequestEvent::CancelOutcome(agent, start, id, None);
         self.queue.push(limit, timeout);
-        if !self.lost_cancels {
-            let backend = self.beside[agent];
-            let event = RequestEvent::CancelAt(backend, agent, start, id, attempt);
+        if !self.drop_cancels {
+            let backend = self.local_backends[agent];
+            let event = RequestEvent::DeliverCancel(backend, agent, start, id, attempt);
             self.queue.push(2, event);
         }
     }
 
-    pub(crate) fn cancel_ended(&mut self, agent: usize, id: u64, by: Option<usize>) {
+    pub(crate) fn handle_cancel_outcome(&mut self, agent: usize, id: u64, by: Option<usize>) {
         let Some(job) = self.agents[agent].jobs.get(&id) else {
             return;
         };
@@ -104,27 +111,28 @@
             return;
         };
         let attempt = job.attempt;
-        let confirmed = by.is_some_and(|by| by == backend || !self.mechanisms.same_server);
-        self.free_slot(agent, attempt, SlotOutcome::Lost);
-        let end = match confirmed || !self.mechanisms.cancel_proof {
-            true => JobEnd::NotRun(RefusalReason::TooLate, UNREACHED_RETRY),
-            false => JobEnd::Unknown,
+        let confirmed = by.is_some_and(|by| by == backend || !self.mechanisms.same_server_cancel);
+        self.release_slot(agent, attempt, SlotOutcome::Lost);
+        let outcome = match confirmed || !self.mechanisms.confirmed_cancel {
+            true => JobOutcome::NotRun(RefusalReason::TooLate, BACKEND_RETRY_AFTER),
+            false => JobOutcome::Unknown,
         };
-        match end {
-            JobEnd::NotRun(reason, retry_after) => {
+        match outcome {
+            JobOutcome::NotRun(reason, retry_after) => {
                 let address = self.agents[agent].address;
-                self.refused(agent, id, address, reason, retry_after);
+                self.handle_refusal(agent, id, address, reason, retry_after);
             }
-            end => self.end_job(agent, id, end),
+            outcome => self.finish_job(agent, id, outcome),
         }
     }
 
-    /// What came back from the backend server; `None`: the connection broke.
-    pub(crate) fn backend_answered(
+    /// Handles the response of the backend server; `None` if the connection broke, an inner `None`
+    /// if the request was shed.
+    pub(crate) fn handle_backend_response(
         &mut self,
         agent: usize,
         id: u64,
-        answer: Option<(AttemptId, Option<RunAnswer>)>,
+        response: Option<(AttemptId, Option<RunResponse>)>,
     ) {
         let Some(job) = self.agents[agent].jobs.get(&id) else {
             return;
@@ -133,24 +141,24 @@
             return;
         }
         let attempt = job.attempt;
-        self.reach(RequestStep::Answered, agent, agent);
-        let matching = self.mechanisms.matching;
-        match answer {
+        self.reach_step(RequestStep::Responded, agent, agent);
+        let attempt_matching = self.mechanisms.attempt_matching;
+        match response {
             Some((_, None)) => {
-                self.free_slot(agent, attempt, SlotOutcome::Shed);
+                self.release_slot(agent, attempt, SlotOutcome::Shed);
                 let address = self.agents[agent].address;
-                self.refused(agent, id, address, RefusalReason::Shed, UNREACHED_RETRY);
+                self.handle_refusal(agent, id, address, RefusalReason::Shed, BACKEND_RETRY_AFTER);
             }
-            Some((named, Some(answer))) if named == attempt || !matching => {
-                self.free_slot(agent, attempt, SlotOutcome::Served);
-                self.end_job(agent, id, JobEnd::Answered(answer.to_bytes(), true));
+            Some((named, Some(response))) if named == attempt || !attempt_matching => {
+                self.release_slot(agent, attempt, SlotOutcome::Served);
+                self.finish_job(agent, id, JobOutcome::Responded(response.to_bytes(), true));
             }
-            // The request may have run; whoever listens there now cannot tell.
-            Some(_) | None if self.mechanisms.same_server => {
-                self.free_slot(agent, attempt, SlotOutcome::Lost);
-                self.end_job(agent, id, JobEnd::Unknown);
+            // The request may have run; the process that now listens there cannot know.
+            Some(_) | None if self.mechanisms.same_server_cancel => {
+                self.release_slot(agent, attempt, SlotOutcome::Lost);
+                self.finish_job(agent, id, JobOutcome::Unknown);
             }
-            Some(_) | None => self.give_up(agent, id),
+            Some(_) | None => self.cancel_run(agent, id),
         }
     }
 }
--- a/tests/matrix/src/requests/job.rs
+++ b/tests/matrix/src/requests/job.rs
@@ -1,19 +1,19 @@
-//! A request as one agent holds it.
+//! The state of a request at one agent.
 
 use std::time::Duration;
 
 use lovagelatch_domain::{AgentAddress, AttemptId, Moment, RefusalReason};
 
-/// The answer of a backend server: which call and filing it is for.
+/// The response of a backend server: the call and the filing it is for, and the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct RunAnswer {
+pub(crate) struct RunResponse {
     pub(crate) call: u64,
     pub(crate) filing: Option<u64>,
     pub(crate) run: u64,
 }
 
-impl RunAnswer {
-    /// Bytes of an answer's body.
+impl RunResponse {
+    /// The size of a complete response body.
     pub(crate) const BYTES: usize = 24;
 
     pub(crate) fn to_bytes(self) -> Vec<u8> {
@@ -24,7 +24,7 @@
             .collect()
     }
 
-    /// `None` when it is not whole.
+    /// Parses a response body; `None` if it is truncated.
     pub(crate) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let number = |at: usize| {
             let bytes = bytes.get(at..at + 8)?;
@@ -39,38 +39,38 @@
     }
 }
 
-/// How an attempt ended, as one agent tells it.
+/// The outcome of an attempt, as one agent reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum JobEnd {
-    /// The body, and whether it is whole.
-    Answered(Vec<u8>, bool),
+pub(crate) enum JobOutcome {
+    /// The body, and whether it is complete.
+    Responded(Vec<u8>, bool),
     NotRun(RefusalReason, Duration),
     Unknown,
 }
 
-/// Whom a job's end is told.
+/// The receiver of the outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReplyTo {
     Caller(u64),
     Stream(usize),
-    /// The ledger of this agent, and through it all who wait.
+    /// The ledger of this agent, and through it all waiters.
     Filing,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum JobPhase {
     New,
-    /// In the own gate's queue.
+    /// In the queue of the local gate.
     Queued,
-    /// At the own backend server.
+    /// At the local backend server.
     Running {
         backend: usize,
         cancelling: bool,
     },
-    /// Offered to a peer, which has not yet said that it is ready.
-    Offering(usize),
-    /// Handed over to a peer; the answer so far.
-    Handed(usize, Option<Vec<u8>>),
+    /// Offered over a stream to a peer that has not yet sent `Ready`.
+    Offered(usize),
+    /// Handed over to a peer over a stream, with the part of the response body received so far.
+    Relayed(usize, Option<Vec<u8>>),
 }
 
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
     pub(crate) attempt: AttemptId,
     pub(crate) call: u64,
     pub(crate) filing: Option<u64>,
-    /// For the home that it names: a filing on its way there.
+    /// The sealed ticket of a filing that is on its way to its home.
     pub(crate) ticket: Option<String>,
     pub(crate) home: Option<AgentAddress>,
     pub(crate) arrived: Moment,
@@ -94,14 +94,14 @@
         self.deadline.since(now)
     }
 
-    /// Time kept for a cancellation.
-    pub(crate) fn reserve(&self) -> Duration {
-        let whole = self.deadline.since(self.arrived);
-        Duration::from_millis(250).min(whole / 4)
+    /// The time before the deadline that is reserved for a cancellation.
+    pub(crate) fn cancel_reserve(&self) -> Duration {
+        let total = self.deadline.since(self.arrived);
+        Duration::from_millis(250).min(total / 4)
     }
 
-    /// Whether this agent chooses the gate, and may choose another after a refusal.
-    pub(crate) fn dispatches(&self) -> bool {
+    /// Whether this agent chooses the gate, and another one after a refusal.
+    pub(crate) fn chooses_gate(&self) -> bool {
         !matches!(self.reply, ReplyTo::Stream(_)) && self.ticket.is_none()
     }
 }
--- a/tests/matrix/src/requests/mod.rs
+++ b/tests/matrix/src/requests/mod.rs
@@ -1,21 +1,21 @@
-//! A request, and a filing that must run at most once.
+//! Simulated requests, and filings, which must run at most once.
 //!
 //! ```text
 //! caller --call--> holder --relay stream--> gate --> backend server
-//!                    | ticket names another home: relay to it, its ledger decides
+//!                    | the ticket names another home: relay there, its ledger decides
 //! ```
 //!
-//! The fakes hold what the agent's tasks hold (who waits for what, timers, streams, the fake
-//! backend server); gates, placement, budgets, ledgers, tickets and frames are the shipped ones.
+//! The fakes replace the agent's tasks: waiters, timers, streams and the backend server. Gates,
+//! placement, budgets, ledgers, tickets and frames are those of the shipped libraries.
 
 mod agent;
 mod backend;
 mod caller;
 mod exchange;
+mod fault;
 mod job;
 mod relay;
 mod serve;
-mod strike;
 mod ticket;
 mod world;
 
@@ -24,74 +24,75 @@
 use crate::history::MatrixHistory;
 use crate::plan::FaultPlan;
 
-/// What goes wrong with a request.
+/// A fault that can be injected into a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestFault {
-    /// The relay stream breaks.
+    /// A relay stream breaks.
     StreamBroken,
-    /// What one side of the relay stream sends no longer arrives.
+    /// Frames from one side of a relay stream no longer arrive.
     StreamSilent,
-    /// The frames of relay streams come 300 ms late.
-    FramesLate,
-    /// The holder does not reach the gate, and the other way round it does.
-    CutOneWay,
-    /// Holder and gate do not reach each other.
-    CutBothWays,
-    /// The holder stops for longer than the deadline.
+    /// The frames of relay streams are delayed by 300 ms.
+    FramesDelayed,
+    /// The holder cannot reach the gate, but the gate can reach the holder.
+    PartitionOneWay,
+    /// The holder and the gate cannot reach each other.
+    PartitionBothWays,
+    /// The holder pauses for longer than the deadline.
     HolderPaused,
-    /// The gate's agent stops for longer than the deadline.
+    /// The gate's agent pauses for longer than the deadline.
     GatePaused,
-    /// The holder dies; a successor starts.
+    /// The holder is killed and restarts.
     HolderKilled,
-    /// The gate's agent dies; a successor starts; the backend server runs on.
+    /// The gate's agent is killed and restarts, while its backend server keeps running.
     GateKilled,
-    /// The gate's backend server dies; another listens at its address at once.
+    /// The gate's backend server is killed; another one listens at its address at once.
     BackendKilled,
-    /// The backend server refuses what its gate lets in.
+    /// The backend server sheds the requests that its gate admits.
     BackendSheds,
-    /// The backend server needs ten times as long.
+    /// Backend servers take ten times as long.
     BackendSlow,
-    /// Requests reach the backend server 300 ms late.
-    HandoverLate,
-    /// The next answer bears another attempt's number.
-    CrossedAnswer,
-    /// The next answer is lost on its way to the agent.
-    LostAnswer,
-    /// The next answer is lost on its way to the caller.
-    UntoldAnswer,
+    /// Requests reach the backend servers 300 ms late.
+    BackendRequestsDelayed,
+    /// The next response carries the number of another attempt.
+    CrossedResponse,
+    /// The next response is lost on its way from the backend server to the agent.
+    LostBackendResponse,
+    /// The next response is lost on its way from the agent to the caller.
+    LostCallerResponse,
     /// Cancellations are lost.
     LostCancel,
-    /// A caller closes its flow while its call is under way.
+    /// A caller closes its flow while its call is in flight.
     CallerGone,
-    /// The holder is leaving.
+    /// The holder starts leaving.
     HolderLeaving,
-    /// The gate is leaving.
+    /// The gate starts leaving.
     GateLeaving,
-    /// The gate's address passes to an instance of another service.
-    GateMoved,
-    /// The home stops as planned and hands its ledger over.
-    HomeStops,
-    /// As above, and the handover to every second peer is lost.
-    HandoverLost,
-    /// As above, and the handover comes late and twice.
-    HandoverTwice,
-    /// The home dies; a successor starts at its address.
+    /// The gate's agent and backend server are replaced by an instance of another service at the
+    /// same address.
+    GateAddressReused,
+    /// The home shuts down gracefully and hands its ledger over.
+    HomeShutdown,
+    /// As `HomeShutdown`, and the handover to every second peer is lost.
+    LedgerHandoverLost,
+    /// As `HomeShutdown`, and the handover arrives late and twice.
+    LedgerHandoverDuplicated,
+    /// The home is killed and restarts at its address.
     HomeKilled,
-    /// The home stops for longer than a ticket lives.
+    /// The home pauses for longer than the lifetime of a ticket.
     HomePausedLong,
-    /// Relay streams are replayed: all frames come twice.
-    FramesTwice,
-    /// The key generation of open tickets is no longer valid at the holder.
-    KeyDropped,
+    /// All frames of relay streams are delivered twice, as in a replay.
+    FramesDuplicated,
+    /// The key generation of issued tickets is dropped by every agent except the home.
+    KeyGenerationDropped,
 }
 
-/// What may strike a plain request.
+/// The faults that are injected into plain requests.
 pub const REQUEST_FAULTS: [RequestFault; 21] = [
     RequestFault::StreamBroken,
     RequestFault::StreamSilent,
-    RequestFault::FramesLate,
-    RequestFault::CutOneWay,
-    RequestFault::CutBothWays,
+    RequestFault::FramesDelayed,
+    RequestFault::PartitionOneWay,
+    RequestFault::PartitionBothWays,
     RequestFault::HolderPaused,
     RequestFault::GatePaused,
     RequestFault::HolderKilled,
@@ -99,136 +100,139 @@
     RequestFault::BackendKilled,
     RequestFault::BackendSheds,
     RequestFault::BackendSlow,
-    RequestFault::HandoverLate,
-    RequestFault::CrossedAnswer,
-    RequestFault::LostAnswer,
-    RequestFault::UntoldAnswer,
+    RequestFault::BackendRequestsDelayed,
+    RequestFault::CrossedResponse,
+    RequestFault::LostBackendResponse,
+    RequestFault::LostCallerResponse,
     RequestFault::LostCancel,
     RequestFault::CallerGone,
     RequestFault::HolderLeaving,
     RequestFault::GateLeaving,
-    RequestFault::GateMoved,
+    RequestFault::GateAddressReused,
 ];
 
-/// What may strike a filing.
+/// The faults that are injected into filings.
 pub const FILING_FAULTS: [RequestFault; 22] = [
     RequestFault::StreamBroken,
     RequestFault::StreamSilent,
-    RequestFault::FramesLate,
-    RequestFault::FramesTwice,
-    RequestFault::CutOneWay,
-    RequestFault::CutBothWays,
+    RequestFault::FramesDelayed,
+    RequestFault::FramesDuplicated,
+    RequestFault::PartitionOneWay,
+    RequestFault::PartitionBothWays,
     RequestFault::HolderPaused,
     RequestFault::GatePaused,
     RequestFault::HolderKilled,
     RequestFault::GateKilled,
     RequestFault::BackendKilled,
     RequestFault::BackendSlow,
-    RequestFault::LostAnswer,
-    RequestFault::UntoldAnswer,
+    RequestFault::LostBackendResponse,
+    RequestFault::LostCallerResponse,
     RequestFault::LostCancel,
     RequestFault::CallerGone,
-    RequestFault::HomeStops,
-    RequestFault::HandoverLost,
-    RequestFault::HandoverTwice,
+    RequestFault::HomeShutdown,
+    RequestFault::LedgerHandoverLost,
+    RequestFault::LedgerHandoverDuplicated,
     RequestFault::HomeKilled,
     RequestFault::HomePausedLong,
-    RequestFault::KeyDropped,
+    RequestFault::KeyGenerationDropped,
 ];
 
-/// The steps of a request, as the world reaches them.
+/// A step of a request before which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStep {
-    /// It arrives at the holder.
-    Offered,
+    /// The request arrives at the holder.
+    Arrived,
     /// Its head arrives at a peer.
     Relayed,
-    /// The peer's word that it is ready arrives at the holder.
+    /// The peer's `Ready` frame arrives at the holder.
     Ready,
     /// The end of its body arrives at the peer.
-    HandedOver,
-    /// It waits in a gate.
+    BodyReceived,
+    /// The request is queued in a gate.
     Queued,
-    /// The backend server starts it.
+    /// The backend server starts the request.
     Started,
-    /// Its answer arrives at the gate's agent.
-    Answered,
-    /// Its answer starts to arrive at the holder.
-    Returned,
-    /// The caller is told.
-    Told,
+    /// Its response arrives at the gate's agent.
+    Responded,
+    /// The head of its response arrives at the holder.
+    ResponseRelayed,
+    /// The outcome arrives at the caller.
+    Completed,
 }
 
-/// All of them, in order.
+/// Every [`RequestStep`], in the order in which a request reaches them.
 pub const REQUEST_STEPS: [RequestStep; 9] = [
-    RequestStep::Offered,
+    RequestStep::Arrived,
     RequestStep::Relayed,
     RequestStep::Ready,
-    RequestStep::HandedOver,
+    RequestStep::BodyReceived,
     RequestStep::Queued,
     RequestStep::Started,
-    RequestStep::Answered,
-    RequestStep::Returned,
-    RequestStep::Told,
+    RequestStep::Responded,
+    RequestStep::ResponseRelayed,
+    RequestStep::Completed,
 ];
 
-/// What keeps the promises; each can be switched off.
+/// The mechanisms that the guarantees depend on.
+///
+/// Tests disable them one at a time to verify that the checks detect it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestMechanisms {
-    /// The end of the body is sent only after the peer's word that it is ready.
-    pub ready: bool,
-    /// What may have run is not sent again.
+    /// The end of the body is sent only after the peer's `Ready` frame.
+    pub await_ready: bool,
+    /// A request that may have run is not retried.
     pub unknown_is_final: bool,
-    /// Only a confirmed cancellation is proof of not run.
-    pub cancel_proof: bool,
-    /// A cancellation is proof only from the server process that was given the request: while
-    /// the connection that carried it is whole.
-    pub same_server: bool,
-    /// Answers are matched by their attempt.
-    pub matching: bool,
-    /// An answer without its end is told as broken off.
-    pub whole_answers: bool,
+    /// Only a confirmed cancellation proves that a request has not run.
+    pub confirmed_cancel: bool,
+    /// A cancellation counts only if it is confirmed by the server process that received the
+    /// request, over the connection that carried it.
+    pub same_server_cancel: bool,
+    /// Responses are matched to requests by their attempt.
+    pub attempt_matching: bool,
+    /// A response without its end is reported to the caller as truncated.
+    pub complete_responses: bool,
     /// A gate refuses requests of another service.
     pub service_check: bool,
-    /// The ledger decides whether a filing runs.
+    /// The ledger of the home decides whether a filing runs.
     pub ledger: bool,
-    /// A ledger closes before it is handed over.
-    pub closing: bool,
-    /// Tickets of a key generation that a holder does not have end unknown.
-    pub unread_is_unknown: bool,
+    /// A ledger is closed before it is handed over.
+    pub close_before_handover: bool,
+    /// A filing whose ticket the holder cannot decrypt ends with an unknown outcome.
+    pub unreadable_is_unknown: bool,
 }
 
 impl Default for RequestMechanisms {
     fn default() -> Self {
         Self {
-            ready: true,
+            await_ready: true,
             unknown_is_final: true,
-            cancel_proof: true,
-            same_server: true,
-            matching: true,
-            whole_answers: true,
+            confirmed_cancel: true,
+            same_server_cancel: true,
+            attempt_matching: true,
+            complete_responses: true,
             service_check: true,
             ledger: true,
-            closing: true,
-            unread_is_unknown: true,
+            close_before_handover: true,
+            unreadable_is_unknown: true,
         }
     }
 }
 
-/// Plays plain requests under the faults of a plan.
+/// Simulates plain requests while injecting the faults of a plan.
 #[must_use]
-pub fn play_requests(
+pub fn run_requests(
     plan: &FaultPlan<RequestFault, RequestStep>,
     mechanisms: RequestMechanisms,
 ) -> MatrixHistory {
-    RequestWorld::new(plan.clone(), mechanisms).play(false)
+    RequestWorld::new(plan.clone(), mechanisms).run(false)
 }
 
-/// Plays filings, each tried several times and from several agents, under the faults of a plan.
+/// Simulates filings besides the plain requests while injecting the faults of a plan. Each filing
+/// is submitted several times and through several agents.
 #[must_use]
-pub fn play_filings(
+pub fn run_filings(
     plan: &FaultPlan<RequestFault, RequestStep>,
     mechanisms: RequestMechanisms,
 ) -> MatrixHistory {
-    RequestWorld::new(plan.clone(), mechanisms).play(true)
+    RequestWorld::new(plan.clone(), mechanisms).run(true)
 }
--- a/tests/matrix/src/requests/serve.rs
+++ b/tests/matrix/src/requests/serve.rs
@@ -8,15 +8,15 @@
 use smallvec::SmallVec;
 
 use super::RequestStep;
-use super::job::{Job, JobEnd, JobPhase, ReplyTo, RunAnswer};
-use super::relay::{Arriving, StreamSide, service_id};
+use super::job::{Job, JobOutcome, JobPhase, ReplyTo, RunResponse};
+use super::relay::{ArrivingRequest, StreamSide, service_id};
 use super::world::RequestWorld;
 
-/// Bytes of an answer in its first chunk; the rest follows.
-const FIRST_CHUNK: usize = 10;
+/// The size of the first chunk of a response; the second chunk has the rest.
+const FIRST_CHUNK_BYTES: usize = 10;
 
 impl RequestWorld {
-    pub(crate) fn at_gate(
+    pub(crate) fn handle_at_gate(
         &mut self,
         stream: usize,
         holder: usize,
@@ -25,7 +25,7 @@
     ) {
         match message {
             RelayMessage::Request(request) => {
-                self.reach(RequestStep::Relayed, holder, gate);
+                self.reach_step(RequestStep::Relayed, holder, gate);
                 let attempt = request.attempt;
                 let wrong = request.service != service_id(self.agents[gate].service);
                 if wrong && self.mechanisms.service_check {
@@ -42,33 +42,33 @@
                     );
                 }
                 let body = Vec::new();
-                self.links[stream].arriving = Some(Arriving { request, body });
+                self.links[stream].arriving = Some(ArrivingRequest { request, body });
                 self.send(stream, StreamSide::Gate, &RelayMessage::Ready(attempt));
             }
-            RelayMessage::Body(piece) => {
+            RelayMessage::Body(body) => {
                 if let Some(arriving) = &mut self.links[stream].arriving {
-                    arriving.body = piece;
+                    arriving.body = body;
                 }
             }
             RelayMessage::BodyEnd => {
-                self.reach(RequestStep::HandedOver, holder, gate);
-                self.take_relayed(stream, gate);
+                self.reach_step(RequestStep::BodyReceived, holder, gate);
+                self.accept_relayed(stream, gate);
             }
             _ => {}
         }
     }
 
-    fn take_relayed(&mut self, stream: usize, gate: usize) {
+    fn accept_relayed(&mut self, stream: usize, gate: usize) {
         let link = &mut self.links[stream];
         let Some(arriving) = link.arriving.clone().filter(|_| !link.broken) else {
             return;
         };
-        // A filing that comes twice is the ledger's to judge; anything else the gate's.
-        if link.taken && arriving.request.ticket.is_none() {
+        // The ledger deduplicates filings; other requests are deduplicated here.
+        if link.accepted && arriving.request.ticket.is_none() {
             return;
         }
-        link.taken = true;
-        let Some(body) = RunAnswer::from_bytes(&arriving.body) else {
+        link.accepted = true;
+        let Some(body) = RunResponse::from_bytes(&arriving.body) else {
             return;
         };
         let now = self.queue.now();
@@ -89,16 +89,17 @@
             return self.start_job(gate, job);
         };
         match RequestTicket::open(&key, &self.agents[gate].keys) {
-            Ok(ticket) => self.file_here(gate, &ticket, job),
-            Err(_) => self.reply(gate, job.reply, job.attempt, &JobEnd::Unknown),
+            Ok(ticket) => self.submit_at_home(gate, &ticket, job),
+            Err(_) => self.reply(gate, job.reply, job.attempt, &JobOutcome::Unknown),
         }
     }
 
-    /// The holder gave up: what waits is withdrawn, what runs is cancelled.
-    pub(crate) fn gate_cut(&mut self, agent: usize, stream: usize) {
+    /// Handles a stream that the holder closed: removes its requests from the gate's queue and
+    /// cancels those that run.
+    pub(crate) fn gate_stream_broken(&mut self, agent: usize, stream: usize) {
         let now = self.queue.now();
-        let own = &mut self.agents[agent];
-        let jobs = own.jobs.iter();
+        let local = &mut self.agents[agent];
+        let jobs = local.jobs.iter();
         let ids: Vec<(u64, AttemptId, JobPhase)> = jobs
             .filter(|(_, job)| job.reply == ReplyTo::Stream(stream))
             .map(|(id, job)| (*id, job.attempt, job.phase.clone()))
@@ -109,25 +110,30 @@
                     self.agents[agent].gate.cancel_queued(attempt, now);
                     self.agents[agent].jobs.remove(&id);
                 }
-                _ => self.give_up(agent, id),
+                _ => self.cancel_run(agent, id),
             }
         }
     }
 
-    pub(crate) fn answer_stream(&mut self, stream: usize, attempt: AttemptId, end: &JobEnd) {
+    pub(crate) fn reply_to_stream(
+        &mut self,
+        stream: usize,
+        attempt: AttemptId,
+        outcome: &JobOutcome,
+    ) {
         let from = StreamSide::Gate;
-        match end {
-            JobEnd::Answered(body, whole) => {
+        match outcome {
+            JobOutcome::Responded(body, complete) => {
                 let head = RelayHead {
                     attempt,
                     status: 201,
                     headers: SmallVec::new(),
                 };
-                let (first, rest) = body.split_at(FIRST_CHUNK.min(body.len()));
+                let (first, rest) = body.split_at(FIRST_CHUNK_BYTES.min(body.len()));
                 self.send(stream, from, &RelayMessage::Head(head));
                 self.send(stream, from, &RelayMessage::Chunk(first.to_vec()));
                 self.send(stream, from, &RelayMessage::Chunk(rest.to_vec()));
-                match whole {
+                match complete {
                     true => {
                         let load = None;
                         self.send(stream, from, &RelayMessage::End { attempt, load });
@@ -135,7 +141,7 @@
                     false => self.break_stream(stream),
                 }
             }
-            JobEnd::NotRun(reason, retry_after) => {
+            JobOutcome::NotRun(reason, retry_after) => {
                 let refused = RelayMessage::Refused {
                     attempt,
                     reason: *reason,
@@ -145,7 +151,7 @@
                 };
                 self.send(stream, from, &refused);
             }
-            JobEnd::Unknown => self.send(stream, from, &RelayMessage::Lost(attempt)),
+            JobOutcome::Unknown => self.send(stream, from, &RelayMessage::Lost(attempt)),
         }
     }
 }
--- a/tests/matrix/src/requests/ticket.rs
+++ b/tests/matrix/src/requests/ticket.rs
@@ -1,92 +1,101 @@
-//! Filings: at home by the ledger, or on their way there.
+//! Filings: the ledger of their home decides on them; other agents relay them to the home.
 
 use lovagelatch_domain::{AttemptId, Moment, RefusalReason};
 use lovagelatch_keys::RequestTicket;
 use lovagelatch_ledger::{LedgerOutcome, LedgerVerdict, StoredAnswer};
 use std::time::Duration;
 
-use super::job::{Job, JobEnd, ReplyTo};
+use super::job::{Job, JobOutcome, ReplyTo};
 use super::world::{RequestEvent, RequestWorld};
 
-/// How long after its deadline an attempt waits for the run's own end.
-const END_WAIT: Duration = Duration::from_millis(10);
+/// How long after its deadline an attempt still waits for its run to end.
+const RUN_END_GRACE: Duration = Duration::from_millis(10);
 
-/// An attempt that waits for the end of a run.
+/// An attempt that waits for a run to end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FilingWaiter {
     pub(crate) attempt: AttemptId,
     pub(crate) reply: ReplyTo,
 }
 
-pub(crate) fn seconds(now: Moment) -> u64 {
+pub(crate) fn ledger_seconds(now: Moment) -> u64 {
     1_000 + now.as_micros() / 1_000_000
 }
 
 impl RequestWorld {
-    /// A filing that came to its holder from the caller.
-    pub(crate) fn file(&mut self, agent: usize, mut job: Job) {
+    /// Handles a filing at its holder: submits it here if this agent's ledger is responsible for
+    /// the ticket, otherwise relays it to the home.
+    pub(crate) fn submit_once(&mut self, agent: usize, mut job: Job) {
         let key = job.ticket.clone().unwrap_or_default();
-        let own = &self.agents[agent];
-        let Ok(ticket) = RequestTicket::open(&key, &own.keys) else {
-            let end = match self.mechanisms.unread_is_unknown {
-                true => JobEnd::Unknown,
-                false => JobEnd::NotRun(RefusalReason::TicketNeeded, Duration::ZERO),
+        let local = &self.agents[agent];
+        let Ok(ticket) = RequestTicket::open(&key, &local.keys) else {
+            let outcome = match self.mechanisms.unreadable_is_unknown {
+                true => JobOutcome::Unknown,
+                false => JobOutcome::NotRun(RefusalReason::TicketNeeded, Duration::ZERO),
             };
-            return self.reply(agent, job.reply, job.attempt, &end);
+            return self.reply(agent, job.reply, job.attempt, &outcome);
         };
         if !self.mechanisms.ledger {
             job.ticket = None;
             return self.start_job(agent, job);
         }
-        let here =
-            ticket.home == own.address || own.ledger.answers_for(ticket.home, ticket.incarnation);
+        let here = ticket.home == local.address
+            || local.ledger.answers_for(ticket.home, ticket.incarnation);
         if here {
-            return self.file_here(agent, &ticket, job);
+            return self.submit_at_home(agent, &ticket, job);
         }
         job.home = Some(ticket.home);
         self.start_job(agent, job);
     }
 
-    /// A filing at the agent whose ledger decides.
-    pub(crate) fn file_here(&mut self, agent: usize, ticket: &RequestTicket, mut job: Job) {
+    /// Submits a filing to the ledger of this agent, which is responsible for its ticket.
+    pub(crate) fn submit_at_home(&mut self, agent: usize, ticket: &RequestTicket, mut job: Job) {
         let now = self.queue.now();
-        let own = &mut self.agents[agent];
-        let verdict = own.ledger.offer(ticket, job.attempt, seconds(now));
+        let local = &mut self.agents[agent];
+        let verdict = local.ledger.offer(ticket, job.attempt, ledger_seconds(now));
         let waiter = FilingWaiter {
             attempt: job.attempt,
             reply: job.reply,
         };
-        let limit = (job.deadline + END_WAIT).since(now).as_millis();
+        let limit = (job.deadline + RUN_END_GRACE).since(now).as_millis();
         let limit = u64::try_from(limit).unwrap_or(0);
-        let end = match verdict {
+        let outcome = match verdict {
             LedgerVerdict::Run => {
-                own.waiters.insert(job.attempt, vec![waiter]);
-                self.wait_timer(agent, job.attempt, waiter, limit);
+                local.waiters.insert(job.attempt, vec![waiter]);
+                self.start_waiter_timer(agent, job.attempt, waiter, limit);
                 job.reply = ReplyTo::Filing;
                 job.ticket = None;
                 return self.start_job(agent, job);
             }
             LedgerVerdict::Join(first) => {
-                if let Some(waiters) = own.waiters.get_mut(&first) {
+                if let Some(waiters) = local.waiters.get_mut(&first) {
                     waiters.push(waiter);
-                    return self.wait_timer(agent, first, waiter, limit);
+                    return self.start_waiter_timer(agent, first, waiter, limit);
                 }
-                JobEnd::Unknown
+                JobOutcome::Unknown
             }
-            LedgerVerdict::Replay(stored) => JobEnd::Answered(stored.body.clone(), true),
+            LedgerVerdict::Replay(stored) => JobOutcome::Responded(stored.body.clone(), true),
             LedgerVerdict::NeverRun | LedgerVerdict::HandedOver => {
-                JobEnd::NotRun(RefusalReason::TicketNeeded, Duration::ZERO)
+                JobOutcome::NotRun(RefusalReason::TicketNeeded, Duration::ZERO)
+            }
+            LedgerVerdict::Full { retry_after } => {
+                JobOutcome::NotRun(RefusalReason::Full, retry_after)
             }
-            LedgerVerdict::Full { retry_after } => JobEnd::NotRun(RefusalReason::Full, retry_after),
             LedgerVerdict::Unknown
             | LedgerVerdict::Expired
             | LedgerVerdict::OtherHome(_)
-            | LedgerVerdict::AttemptReused => JobEnd::Unknown,
+            | LedgerVerdict::AttemptReused => JobOutcome::Unknown,
         };
-        self.reply(agent, waiter.reply, waiter.attempt, &end);
+        self.reply(agent, waiter.reply, waiter.attempt, &outcome);
     }
 
-    fn wait_timer(&mut self, agent: usize, run: AttemptId, waiter: FilingWaiter, limit: u64) {
+    fn start_waiter_timer(
+        &mut self,
+        agent: usize,
+        run: AttemptId,
+        waiter: FilingWaiter,
+        limit: u64,
+    ) {
         let start = self.agents[agent].start;
         let event = RequestEvent::WaiterTimeout(agent, start, run, waiter.attempt);
         self.queue.push(limit, event);
@@ -99,28 +108,29 @@
         let late = waiters.iter().position(|waiter| waiter.attempt == attempt);
         if let Some(late) = late {
             let waiter = waiters.remove(late);
-            self.reply(agent, waiter.reply, waiter.attempt, &JobEnd::Unknown);
+            self.reply(agent, waiter.reply, waiter.attempt, &JobOutcome::Unknown);
         }
     }
 
-    /// The run of a filing has ended: the ledger first, then all who wait.
-    pub(crate) fn end_filing(&mut self, agent: usize, attempt: AttemptId, end: JobEnd) {
-        let record = match &end {
-            JobEnd::Answered(body, true) => {
+    /// Ends the run of a filing: records the outcome in the ledger first, then sends it to all
+    /// waiters.
+    pub(crate) fn finish_filing(&mut self, agent: usize, attempt: AttemptId, outcome: JobOutcome) {
+        let record = match &outcome {
+            JobOutcome::Responded(body, true) => {
                 LedgerOutcome::Done(StoredAnswer::new(201, body.clone()))
             }
-            JobEnd::NotRun(..) => LedgerOutcome::NotRun,
-            JobEnd::Answered(_, false) | JobEnd::Unknown => LedgerOutcome::Unknown,
+            JobOutcome::NotRun(..) => LedgerOutcome::NotRun,
+            JobOutcome::Responded(_, false) | JobOutcome::Unknown => LedgerOutcome::Unknown,
         };
-        let end = match end {
-            JobEnd::Answered(_, false) => JobEnd::Unknown,
-            end => end,
+        let outcome = match outcome {
+            JobOutcome::Responded(_, false) => JobOutcome::Unknown,
+            outcome => outcome,
         };
-        let now = seconds(self.queue.now());
-        let own = &mut self.agents[agent];
-        own.ledger.finish(attempt, record, now);
-        for waiter in own.waiters.remove(&attempt).unwrap_or_default() {
-            self.reply(agent, waiter.reply, waiter.attempt, &end);
+        let now = ledger_seconds(self.queue.now());
+        let local = &mut self.agents[agent];
+        local.ledger.finish(attempt, record, now);
+        for waiter in local.waiters.remove(&attempt).unwrap_or_default() {
+            self.reply(agent, waiter.reply, waiter.attempt, &outcome);
         }
     }
 }
--- a/tests/matrix/src/requests/world.rs
+++ b/tests/matrix/src/requests/world.rs
@@ -1,4 +1,4 @@
-//! The course of a run: one queue, four agents with their backend servers, callers.
+//! The simulation loop: one event queue, callers, and four agents with their backend servers.
 
 use lovagelatch_domain::{AttemptId, Moment};
 use rand::rngs::SmallRng;
@@ -7,10 +7,10 @@
 use super::agent::{FakeAgent, SLOTS};
 use super::backend::{BackendVerdict, FakeBackend, millis};
 use super::caller::{Call, Filing};
-use super::job::{Job, JobEnd, JobPhase, ReplyTo, RunAnswer};
+use super::fault::Healing;
+use super::job::{Job, JobOutcome, JobPhase, ReplyTo, RunResponse};
 use super::relay::{RelayLink, StreamSide};
-use super::strike::Healing;
-use super::ticket::seconds;
+use super::ticket::ledger_seconds;
 use super::{RequestFault, RequestMechanisms, RequestStep};
 use crate::history::{MatrixEvent, MatrixHistory};
 use crate::plan::FaultPlan;
@@ -19,11 +19,10 @@
 
 pub(crate) const AGENTS: usize = 4;
 
-/// Milliseconds between two heartbeats.
-const HEARTBEAT: u64 = 100;
+const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
-/// When everything ends, in milliseconds.
-const END: u64 = 16_000;
+/// The simulated time at which a run stops.
+const RUN_DURATION_MS: u64 = 16_000;
 
 const PLAIN_CALLS: u64 = 26;
 const FILINGS: u64 = 4;
@@ -31,20 +30,20 @@
 #[derive(Clone, Debug)]
 pub(crate) enum RequestEvent {
     PlainCall,
-    AskTicket(u64),
-    TicketAt(u64, usize),
-    TryFiling(u64),
-    AtHolder(usize, u64, Option<String>, Moment),
-    Told(u64, JobEnd),
-    Frame(usize, StreamSide, Vec<u8>),
-    Broken(usize, u64, usize),
+    FetchTicket(u64),
+    IssueTicket(u64, usize),
+    SubmitFiling(u64),
+    DeliverCall(usize, u64, Option<String>, Moment),
+    DeliverOutcome(u64, JobOutcome),
+    DeliverFrame(usize, StreamSide, Vec<u8>),
+    StreamBroken(usize, u64, usize),
     ReadyTimeout(usize, u64, u64, usize),
-    VerdictTimeout(usize, u64, u64, usize),
-    HomeAgain(usize, u64, u64),
+    ResponseTimeout(usize, u64, u64, usize),
+    RetryHome(usize, u64, u64),
     WaiterTimeout(usize, u64, AttemptId, AttemptId),
-    GateWake(usize, u64),
-    GiveUp(usize, u64, u64),
-    AtBackend {
+    AdvanceGate(usize, u64),
+    CancelRun(usize, u64, u64),
+    DeliverToBackend {
         backend: usize,
         agent: usize,
         start: u64,
@@ -53,19 +52,19 @@
         call: u64,
         filing: Option<u64>,
     },
-    RunEnds(usize, u64, usize, u64, u64),
-    FromBackend(usize, u64, u64, Option<(AttemptId, Option<RunAnswer>)>),
-    CancelAt(usize, usize, u64, u64, AttemptId),
-    CancelEnd(usize, u64, u64, Option<usize>),
+    FinishRun(usize, u64, usize, u64, u64),
+    DeliverResponse(usize, u64, u64, Option<(AttemptId, Option<RunResponse>)>),
+    DeliverCancel(usize, usize, u64, u64, AttemptId),
+    CancelOutcome(usize, u64, u64, Option<usize>),
     Heartbeat,
     Heal(Healing),
     Restart(usize, &'static str),
-    TakeOver(usize, Box<LedgerHandover>),
-    HandOverAgain(usize, u64),
-    End(usize, u64),
+    DeliverHandover(usize, Box<LedgerHandover>),
+    RepeatHandover(usize, u64),
+    StopAgent(usize, u64),
 }
 
-/// Agents, backend servers and callers with one queue.
+/// Simulated agents, backend servers and callers, driven by one event queue.
 pub struct RequestWorld {
     pub(crate) plan: FaultPlan<RequestFault, RequestStep>,
     pub(crate) mechanisms: RequestMechanisms,
@@ -73,30 +72,31 @@
     pub(crate) queue: EventQueue<RequestEvent>,
     pub(crate) agents: Vec<FakeAgent>,
     pub(crate) backends: Vec<FakeBackend>,
-    /// The backend server beside each agent.
-    pub(crate) beside: Vec<usize>,
+    /// The index of the backend server beside each agent.
+    pub(crate) local_backends: Vec<usize>,
     pub(crate) links: Vec<RelayLink>,
     pub(crate) calls: Vec<Call>,
     pub(crate) filings: Vec<Filing>,
-    /// Pairs of agents the first of which does not reach the second.
-    pub(crate) cuts: Vec<(usize, usize)>,
-    pub(crate) late_frames: u64,
-    pub(crate) late_handover: u64,
-    pub(crate) frames_twice: bool,
-    pub(crate) lost_cancels: bool,
-    pub(crate) slowness: u64,
-    pub(crate) crossed_next: bool,
-    pub(crate) lost_next: bool,
-    pub(crate) untold_next: bool,
-    /// The home of the filing that was struck first.
+    /// Pairs of agents of which the first cannot reach the second.
+    pub(crate) partitions: Vec<(usize, usize)>,
+    pub(crate) frame_delay_ms: u64,
+    pub(crate) backend_delay_ms: u64,
+    pub(crate) duplicate_frames: bool,
+    pub(crate) drop_cancels: bool,
+    pub(crate) slowdown: u64,
+    pub(crate) cross_next_response: bool,
+    pub(crate) drop_next_response: bool,
+    pub(crate) drop_next_reply: bool,
+    /// The agent that issued the newest ticket; before the first one, a random agent.
     pub(crate) home: usize,
-    /// How often each step is passed before its faults strike.
-    passes: Vec<(RequestStep, u32)>,
+    /// For each planned fault, its step and how many more times the step is skipped before the
+    /// fault is injected; `u32::MAX` once it was injected.
+    skips_left: Vec<(RequestStep, u32)>,
     pub(crate) history: MatrixHistory,
 }
 
 impl RequestWorld {
-    /// A world at its start.
+    /// Creates a world in which every process runs and no request has been sent yet.
     #[must_use]
     pub fn new(plan: FaultPlan<RequestFault, RequestStep>, mechanisms: RequestMechanisms) -> Self {
         let mut rng = SmallRng::seed_from_u64(plan.seed);
@@ -106,21 +106,21 @@
             queue: EventQueue::default(),
             agents: agents.collect(),
             backends: Vec::new(),
-            beside: vec![0; AGENTS],
+            local_backends: vec![0; AGENTS],
             links: Vec::new(),
             calls: Vec::new(),
             filings: Vec::new(),
-            cuts: Vec::new(),
-            late_frames: 0,
-            late_handover: 0,
-            frames_twice: false,
-            lost_cancels: false,
-            slowness: 1,
-            crossed_next: false,
-            lost_next: false,
-            untold_next: false,
+            partitions: Vec::new(),
+            frame_delay_ms: 0,
+            backend_delay_ms: 0,
+            duplicate_frames: false,
+            drop_cancels: false,
+            slowdown: 1,
+            cross_next_response: false,
+            drop_next_response: false,
+            drop_next_reply: false,
             home: rng.random_range(0..AGENTS),
-            passes: plan
+            skips_left: plan
                 .strikes
                 .iter()
                 .map(|(_, step)| (*step, rng.random_range(0..3)))
@@ -139,27 +139,27 @@
         let number = self.backends.len();
         let name = format!("{service}-{agent}-{number}");
         let first_run = number as u64 * 1_000;
-        self.beside[agent] = number;
+        self.local_backends[agent] = number;
         self.backends
             .push(FakeBackend::new(name, service, SLOTS, first_run));
     }
 
-    /// Plays to the end.
+    /// Runs until `RUN_DURATION_MS` and returns what happened.
     #[must_use]
-    pub fn play(mut self, filings: bool) -> MatrixHistory {
+    pub fn run(mut self, filings: bool) -> MatrixHistory {
         for number in 0..PLAIN_CALLS {
-            // Bursts, so that gates queue and relay.
+            // Bursts make gates queue and agents relay requests.
             let at = 40 + number / 6 * 160 + self.rng.random_range(0..40);
             self.queue.push(at, RequestEvent::PlainCall);
         }
         for filing in 0..if filings { FILINGS } else { 0 } {
             self.filings.push(Filing::default());
             let at = self.rng.random_range(0..400);
-            self.queue.push(at, RequestEvent::AskTicket(filing));
+            self.queue.push(at, RequestEvent::FetchTicket(filing));
         }
         self.queue.push(0, RequestEvent::Heartbeat);
         while let Some(event) = self.queue.pop() {
-            if self.queue.now() > Moment::from_millis(END) {
+            if self.queue.now() > Moment::from_millis(RUN_DURATION_MS) {
                 break;
             }
             self.handle(event);
@@ -169,53 +169,55 @@
         self.history
     }
 
-    /// The faults of a step strike once, when it was passed as often as the seed says.
-    pub(crate) fn reach(&mut self, step: RequestStep, holder: usize, gate: usize) {
-        for index in 0..self.passes.len() {
-            let (at, left) = self.passes[index];
+    /// Injects the faults planned for a step, each once, after the step was skipped as often as
+    /// the seed determines.
+    pub(crate) fn reach_step(&mut self, step: RequestStep, holder: usize, gate: usize) {
+        for index in 0..self.skips_left.len() {
+            let (at, left) = self.skips_left[index];
             if at != step || left == u32::MAX {
                 continue;
             }
             if left > 0 {
-                self.passes[index].1 -= 1;
+                self.skips_left[index].1 -= 1;
                 continue;
             }
-            self.passes[index].1 = u32::MAX;
+            self.skips_left[index].1 = u32::MAX;
             let fault = self.plan.strikes[index].0;
             let text = format!("{fault:?} at {step:?}, holder {holder}, gate {gate}");
             self.history
                 .note(self.queue.now(), MatrixEvent::Fault(text));
             let since = &mut self.history.facts.unplanned_since_ms;
             *since = Some(since.unwrap_or(millis(self.queue.now())));
-            self.strike(fault, holder, gate);
+            self.inject(fault, holder, gate);
         }
     }
 
-    /// Events of an agent that is paused wait until it wakes; those of one that died are lost.
-    fn agent_of(event: &RequestEvent) -> Option<(usize, Option<u64>)> {
+    /// Returns the agent that handles an event, and the start of it for which the event is meant.
+    /// Events of a paused agent are deferred until it resumes; those of a stopped one are lost.
+    fn receiving_agent(event: &RequestEvent) -> Option<(usize, Option<u64>)> {
         match event {
-            RequestEvent::AtHolder(agent, ..) | RequestEvent::TicketAt(_, agent) => {
+            RequestEvent::DeliverCall(agent, ..) | RequestEvent::IssueTicket(_, agent) => {
                 Some((*agent, None))
             }
-            RequestEvent::TakeOver(agent, _) => Some((*agent, None)),
-            RequestEvent::Broken(agent, start, _)
+            RequestEvent::DeliverHandover(agent, _) => Some((*agent, None)),
+            RequestEvent::StreamBroken(agent, start, _)
             | RequestEvent::ReadyTimeout(agent, start, ..)
-            | RequestEvent::VerdictTimeout(agent, start, ..)
-            | RequestEvent::HomeAgain(agent, start, _)
+            | RequestEvent::ResponseTimeout(agent, start, ..)
+            | RequestEvent::RetryHome(agent, start, _)
             | RequestEvent::WaiterTimeout(agent, start, ..)
-            | RequestEvent::GateWake(agent, start)
-            | RequestEvent::GiveUp(agent, start, _)
-            | RequestEvent::FromBackend(agent, start, ..)
-            | RequestEvent::CancelEnd(agent, start, ..)
-            | RequestEvent::HandOverAgain(agent, start)
-            | RequestEvent::End(agent, start) => Some((*agent, Some(*start))),
+            | RequestEvent::AdvanceGate(agent, start)
+            | RequestEvent::CancelRun(agent, start, _)
+            | RequestEvent::DeliverResponse(agent, start, ..)
+            | RequestEvent::CancelOutcome(agent, start, ..)
+            | RequestEvent::RepeatHandover(agent, start)
+            | RequestEvent::StopAgent(agent, start) => Some((*agent, Some(*start))),
             _ => None,
         }
     }
 
     fn handle(&mut self, event: RequestEvent) {
-        let mut owner = Self::agent_of(&event);
-        if let RequestEvent::Frame(stream, from, _) = &event {
+        let mut owner = Self::receiving_agent(&event);
+        if let RequestEvent::DeliverFrame(stream, from, _) = &event {
             let link = &self.links[*stream];
             let receiver = match from {
                 StreamSide::Holder => link.gate,
@@ -224,50 +226,54 @@
             owner = Some((receiver, None));
         }
         if let Some((agent, start)) = owner {
-            let own = &self.agents[agent];
-            if !own.running || start.is_some_and(|start| start != own.start) {
+            let local = &self.agents[agent];
+            if !local.running || start.is_some_and(|start| start != local.start) {
                 return;
             }
-            let wait = own.paused_until.since(self.queue.now()).as_millis();
+            let wait = local.paused_until.since(self.queue.now()).as_millis();
             if wait > 0 {
                 self.queue.push(u64::try_from(wait).unwrap_or(0) + 1, event);
                 return;
             }
         }
-        self.carry_out(event);
+        self.execute(event);
     }
 
-    fn carry_out(&mut self, event: RequestEvent) {
+    fn execute(&mut self, event: RequestEvent) {
         match event {
             RequestEvent::PlainCall => {
                 let call = self.new_call(None);
                 self.send_call(call, None);
             }
-            RequestEvent::AskTicket(filing) => self.ask_ticket(filing),
-            RequestEvent::TicketAt(filing, agent) => self.issue_ticket(filing, agent),
-            RequestEvent::TryFiling(filing) => self.try_filing(filing),
-            RequestEvent::AtHolder(agent, call, ticket, deadline) => {
-                self.at_agent(agent, call, ticket, deadline);
+            RequestEvent::FetchTicket(filing) => self.fetch_ticket(filing),
+            RequestEvent::IssueTicket(filing, agent) => self.issue_ticket(filing, agent),
+            RequestEvent::SubmitFiling(filing) => self.submit_filing(filing),
+            RequestEvent::DeliverCall(agent, call, ticket, deadline) => {
+                self.accept_call(agent, call, ticket, deadline);
             }
-            RequestEvent::Told(call, end) => {
-                self.reach(RequestStep::Told, self.home, self.home);
-                self.told(call, &end);
+            RequestEvent::DeliverOutcome(call, outcome) => {
+                self.reach_step(RequestStep::Completed, self.home, self.home);
+                self.complete_call(call, &outcome);
+            }
+            RequestEvent::DeliverFrame(stream, from, frame) => {
+                self.deliver_frame(stream, from, &frame);
+            }
+            RequestEvent::StreamBroken(agent, _, stream) => {
+                self.handle_broken_stream(agent, stream);
             }
-            RequestEvent::Frame(stream, from, frame) => self.frame_arrives(stream, from, &frame),
-            RequestEvent::Broken(agent, _, stream) => self.notice_broken(agent, stream),
             RequestEvent::ReadyTimeout(agent, _, id, stream) => {
                 self.ready_timeout(agent, id, stream);
             }
-            RequestEvent::VerdictTimeout(agent, _, id, stream) => {
-                self.verdict_timeout(agent, id, stream);
+            RequestEvent::ResponseTimeout(agent, _, id, stream) => {
+                self.response_timeout(agent, id, stream);
             }
-            RequestEvent::HomeAgain(agent, _, id) => self.home_again(agent, id),
+            RequestEvent::RetryHome(agent, _, id) => self.retry_home(agent, id),
             RequestEvent::WaiterTimeout(agent, _, run, attempt) => {
                 self.waiter_timeout(agent, run, attempt);
             }
-            RequestEvent::GateWake(agent, _) => self.gate_wakes(agent),
-            RequestEvent::GiveUp(agent, _, id) => self.give_up(agent, id),
-            RequestEvent::AtBackend {
+            RequestEvent::AdvanceGate(agent, _) => self.advance_gate(agent),
+            RequestEvent::CancelRun(agent, _, id) => self.cancel_run(agent, id),
+            RequestEvent::DeliverToBackend {
                 backend,
                 agent,
                 start,
@@ -275,68 +281,71 @@
                 attempt,
                 call,
                 filing,
-            } => self.at_backend(backend, (agent, start, id), attempt, call, filing),
-            RequestEvent::RunEnds(backend, run, agent, start, id) => {
-                self.run_ends(backend, run, agent, start, id);
+            } => self.deliver_to_backend(backend, (agent, start, id), attempt, call, filing),
+            RequestEvent::FinishRun(backend, run, agent, start, id) => {
+                self.finish_run(backend, run, agent, start, id);
             }
-            RequestEvent::FromBackend(agent, _, id, answer) => {
-                self.backend_answered(agent, id, answer);
+            RequestEvent::DeliverResponse(agent, _, id, response) => {
+                self.handle_backend_response(agent, id, response);
             }
-            RequestEvent::CancelAt(backend, agent, start, id, attempt) => {
+            RequestEvent::DeliverCancel(backend, agent, start, id, attempt) => {
                 let now = self.queue.now();
                 let server = &mut self.backends[backend];
                 if server.running {
                     let confirmed = server.cancel(attempt, now);
                     let by = confirmed.then_some(backend);
-                    let event = RequestEvent::CancelEnd(agent, start, id, by);
+                    let event = RequestEvent::CancelOutcome(agent, start, id, by);
                     self.queue.push(2, event);
                 }
             }
-            RequestEvent::CancelEnd(agent, _, id, by) => self.cancel_ended(agent, id, by),
+            RequestEvent::CancelOutcome(agent, _, id, by) => {
+                self.handle_cancel_outcome(agent, id, by);
+            }
             RequestEvent::Heartbeat => self.heartbeat(),
             RequestEvent::Heal(healing) => self.heal(healing),
             RequestEvent::Restart(agent, service) => self.restart(agent, service),
-            RequestEvent::TakeOver(agent, handover) => {
-                let now = seconds(self.queue.now());
+            RequestEvent::DeliverHandover(agent, handover) => {
+                let now = ledger_seconds(self.queue.now());
                 self.agents[agent].ledger.take_over(*handover, now);
             }
-            RequestEvent::HandOverAgain(agent, _) => self.hand_over(agent, 1),
-            RequestEvent::End(agent, _) => self.end_agent(agent),
+            RequestEvent::RepeatHandover(agent, _) => self.hand_over(agent, 1),
+            RequestEvent::StopAgent(agent, _) => self.stop_agent(agent),
         }
     }
 
     fn heartbeat(&mut self) {
         let now = self.queue.now();
-        for own in &mut self.agents {
-            let awake = own.running && own.paused_until <= now && own.service == "claims";
+        for agent in &mut self.agents {
+            let awake = agent.running && agent.paused_until <= now && agent.service == "claims";
             if awake {
-                own.reported = (own.gate.report(now), now);
+                agent.last_report = (agent.gate.report(now), now);
             }
         }
-        self.queue.push(HEARTBEAT, RequestEvent::Heartbeat);
+        self.queue
+            .push(HEARTBEAT_INTERVAL_MS, RequestEvent::Heartbeat);
     }
 
-    /// Sends a call to an agent that the fabric picks.
+    /// Sends a call to a random agent, as a fabric would, and schedules the timeout of its caller.
     pub(crate) fn send_call(&mut self, call: u64, ticket: Option<String>) {
         let agent = self.rng.random_range(0..AGENTS);
-        let patience = self.rng.random_range(300..900);
-        let deadline = Moment::from_micros(self.queue.now().as_micros() + patience * 1_000);
-        let event = RequestEvent::AtHolder(agent, call, ticket, deadline);
+        let timeout_ms = self.rng.random_range(300..900);
+        let deadline = Moment::from_micros(self.queue.now().as_micros() + timeout_ms * 1_000);
+        let event = RequestEvent::DeliverCall(agent, call, ticket, deadline);
         self.queue.push(1, event);
-        // The caller's own timeout: it must assume that the request may have run.
-        let assumed = RequestEvent::Told(call, JobEnd::Unknown);
-        self.queue.push(patience + 150, assumed);
+        // After its own timeout the caller must assume that the request may have run.
+        let assumed = RequestEvent::DeliverOutcome(call, JobOutcome::Unknown);
+        self.queue.push(timeout_ms + 150, assumed);
     }
 
-    fn at_agent(&mut self, agent: usize, call: u64, ticket: Option<String>, deadline: Moment) {
+    fn accept_call(&mut self, agent: usize, call: u64, ticket: Option<String>, deadline: Moment) {
         let now = self.queue.now();
-        // Flows of an instance of another service are refused at the packet level.
+        // An instance of another service refuses flows at the packet level.
         if self.agents[agent].service != "claims" || deadline <= now {
             return;
         }
-        self.reach(RequestStep::Offered, agent, agent);
-        let own = &self.agents[agent];
-        if !own.running || own.service != "claims" {
+        self.reach_step(RequestStep::Arrived, agent, agent);
+        let local = &self.agents[agent];
+        if !local.running || local.service != "claims" {
             return;
         }
         let job = Job {
@@ -353,50 +362,52 @@
             phase: JobPhase::New,
         };
         match ticket {
-            Some(_) => self.file(agent, job),
+            Some(_) => self.submit_once(agent, job),
             None => self.start_job(agent, job),
         }
     }
 
-    /// Answers a caller over the flow that its holder ends; a holder that died answers nothing.
-    pub(crate) fn answer_caller(&mut self, agent: usize, call: u64, end: JobEnd) {
-        let untold = std::mem::take(&mut self.untold_next);
-        if self.agents[agent].running && !untold {
-            self.queue.push(1, RequestEvent::Told(call, end));
+    /// Sends an outcome to the caller over its flow, unless the holder has stopped.
+    pub(crate) fn reply_to_caller(&mut self, agent: usize, call: u64, outcome: JobOutcome) {
+        let dropped = std::mem::take(&mut self.drop_next_reply);
+        if self.agents[agent].running && !dropped {
+            self.queue
+                .push(1, RequestEvent::DeliverOutcome(call, outcome));
         }
     }
 
-    fn ask_ticket(&mut self, filing: u64) {
-        let held = &self.filings[usize::try_from(filing).unwrap_or(0)];
-        if held.ticket.is_some() || held.done {
+    fn fetch_ticket(&mut self, filing: u64) {
+        let state = &self.filings[usize::try_from(filing).unwrap_or(0)];
+        if state.ticket.is_some() || state.done {
             return;
         }
         let agent = self.rng.random_range(0..AGENTS);
-        self.queue.push(1, RequestEvent::TicketAt(filing, agent));
-        // Should the agent be dead, another is asked.
-        self.queue.push(1_000, RequestEvent::AskTicket(filing));
+        self.queue.push(1, RequestEvent::IssueTicket(filing, agent));
+        // If there is no ticket by then, the agent may have stopped: ask another one.
+        self.queue.push(1_000, RequestEvent::FetchTicket(filing));
     }
 
     fn issue_ticket(&mut self, filing: u64, agent: usize) {
-        let now = seconds(self.queue.now());
-        let own = &mut self.agents[agent];
-        let held = &mut self.filings[usize::try_from(filing).unwrap_or(0)];
-        if held.ticket.is_some() || held.done || own.service != "claims" {
+        let now = ledger_seconds(self.queue.now());
+        let local = &mut self.agents[agent];
+        let state = &mut self.filings[usize::try_from(filing).unwrap_or(0)];
+        if state.ticket.is_some() || state.done || local.service != "claims" {
             return;
         }
         let service = "claims"
             .parse()
             .map(|name: lovagelatch_domain::ServiceName| name.id());
-        let ticket = own.ledger.issue(service.unwrap_or_default(), now);
-        held.ticket = Some(ticket.seal(&own.keys));
+        let ticket = local.ledger.issue(service.unwrap_or_default(), now);
+        state.ticket = Some(ticket.seal(&local.keys));
         self.home = agent;
-        // Two tries at once, over two flows.
+        // Two concurrent submissions, over two flows.
         let second = self.rng.random_range(0..200);
-        self.queue.push(5, RequestEvent::TryFiling(filing));
-        self.queue.push(5 + second, RequestEvent::TryFiling(filing));
+        self.queue.push(5, RequestEvent::SubmitFiling(filing));
+        self.queue
+            .push(5 + second, RequestEvent::SubmitFiling(filing));
     }
 
-    fn at_backend(
+    fn deliver_to_backend(
         &mut self,
         backend: usize,
         (agent, start, id): (usize, u64, u64),
@@ -406,39 +417,39 @@
     ) {
         let now = self.queue.now();
         if !self.backends[backend].running {
-            let lost = RequestEvent::FromBackend(agent, start, id, None);
+            let lost = RequestEvent::DeliverResponse(agent, start, id, None);
             return self.queue.push(1, lost);
         }
         match self.backends[backend].receive(attempt, call, filing, now) {
             BackendVerdict::Started(run) => {
-                let work = self.rng.random_range(20..140) * self.slowness;
-                let ends = RequestEvent::RunEnds(backend, run, agent, start, id);
-                self.queue.push(work, ends);
-                self.reach(RequestStep::Started, agent, agent);
+                let work_ms = self.rng.random_range(20..140) * self.slowdown;
+                let finish = RequestEvent::FinishRun(backend, run, agent, start, id);
+                self.queue.push(work_ms, finish);
+                self.reach_step(RequestStep::Started, agent, agent);
             }
             BackendVerdict::Shed => {
-                let shed = RequestEvent::FromBackend(agent, start, id, Some((attempt, None)));
+                let shed = RequestEvent::DeliverResponse(agent, start, id, Some((attempt, None)));
                 self.queue.push(1, shed);
             }
             BackendVerdict::Cancelled => {}
         }
     }
 
-    fn run_ends(&mut self, backend: usize, run: u64, agent: usize, start: u64, id: u64) {
+    fn finish_run(&mut self, backend: usize, run: u64, agent: usize, start: u64, id: u64) {
         let now = self.queue.now();
         if !self.backends[backend].running {
             return;
         }
-        let Some((mut attempt, mut answer)) = self.backends[backend].end(run, now) else {
+        let Some((mut attempt, mut response)) = self.backends[backend].finish_run(run, now) else {
             return;
         };
-        if std::mem::take(&mut self.crossed_next) {
+        if std::mem::take(&mut self.cross_next_response) {
             attempt.0 ^= 1;
-            answer.call ^= 1;
+            response.call ^= 1;
         }
-        let lost = std::mem::take(&mut self.lost_next);
-        let answer = (!lost).then_some((attempt, Some(answer)));
-        let event = RequestEvent::FromBackend(agent, start, id, answer);
+        let lost = std::mem::take(&mut self.drop_next_response);
+        let response = (!lost).then_some((attempt, Some(response)));
+        let event = RequestEvent::DeliverResponse(agent, start, id, response);
         self.queue.push(1, event);
     }
 }
--- a/tests/matrix/tests/all/filings.rs
+++ b/tests/matrix/tests/all/filings.rs
@@ -1,70 +1,76 @@
 //! Filings under every fault at every step.
 
 use lovagelatch_matrix::MatrixReport;
-use lovagelatch_matrix::requests::{FILING_FAULTS, REQUEST_STEPS, RequestMechanisms, play_filings};
+use lovagelatch_matrix::requests::{FILING_FAULTS, REQUEST_STEPS, RequestMechanisms, run_filings};
 
 const SEEDS: u64 = 6;
 const PAIRS: u64 = 1_000;
-const SWITCHED_PAIRS: u64 = 300;
+const DISABLED_PAIRS: u64 = 300;
 
-// Symptom: a filing runs twice, or one that ran is told as not run.
-// Sequence: one fault before each step, while each filing is tried from several agents.
-// Cause: a second place that may run it, or an end that is taken for proof and is none.
+// Guards against filings that run twice, because a second agent may run them, and against filings
+// that ran but are reported as not run, because an outcome is wrongly treated as proof. One fault
+// is injected before each step, while each filing is submitted through several agents.
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("filing, one fault");
     report.play_singles(&FILING_FAULTS, &REQUEST_STEPS, 0..SEEDS, |plan| {
-        play_filings(plan, RequestMechanisms::default())
+        run_filings(plan, RequestMechanisms::default())
     });
     report.assert_sound();
 }
 
-// Symptom, cause: as above.
-// Sequence: two faults, or the same one twice.
+// Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("filing, two faults");
     report.play_pairs(&FILING_FAULTS, &REQUEST_STEPS, PAIRS, |plan| {
-        play_filings(plan, RequestMechanisms::default())
+        run_filings(plan, RequestMechanisms::default())
     });
     report.assert_sound();
 }
 
-struct Switched {
+struct DisabledMechanism {
     mechanism: &'static str,
     mechanisms: RequestMechanisms,
-    promise: &'static str,
+    guarantee: &'static str,
 }
 
-fn switched() -> [Switched; 5] {
+fn disabled_mechanisms() -> [DisabledMechanism; 5] {
     let on = RequestMechanisms::default();
-    let case = |mechanism, mechanisms, promise| Switched {
+    let case = |mechanism, mechanisms, guarantee| DisabledMechanism {
         mechanism,
         mechanisms,
-        promise,
+        guarantee,
     };
     let no_ledger = RequestMechanisms {
         ledger: false,
         ..on
     };
-    let again = RequestMechanisms {
+    let retry_unknown = RequestMechanisms {
         unknown_is_final: false,
         ..on
     };
-    let open_copy = RequestMechanisms {
-        closing: false,
+    let no_closing = RequestMechanisms {
+        close_before_handover: false,
         ..on
     };
-    let unread = RequestMechanisms {
-        unread_is_unknown: false,
+    let unreadable_not_run = RequestMechanisms {
+        unreadable_is_unknown: false,
+        ..on
+    };
+    let no_ready = RequestMechanisms {
+        await_ready: false,
         ..on
     };
-    let no_ready = RequestMechanisms { ready: false, ..on };
     [
         case("the ledger", no_ledger, "ran_twice"),
-        case("unknown is final", again, "ran_twice"),
-        case("closing before a handover", open_copy, "ran_twice"),
-        case("unread tickets end unknown", unread, "not_run_but_ran"),
+        case("unknown is final", retry_unknown, "ran_twice"),
+        case("closing before a handover", no_closing, "ran_twice"),
+        case(
+            "unreadable tickets end unknown",
+            unreadable_not_run,
+            "not_run_but_ran",
+        ),
         case(
             "ready before the end of the body",
             no_ready,
@@ -73,16 +79,15 @@
     ]
 }
 
-// Symptom: the matrix passes whatever the code does.
-// Sequence: each mechanism is switched off in turn.
-// Cause: a check that cannot fail.
+// Guards against checks that cannot fail: with any one mechanism disabled, the guarantee that
+// depends on it must be violated.
 #[test]
-fn each_check_notices_its_mechanism() {
-    for case in switched() {
+fn each_disabled_mechanism_is_detected() {
+    for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("filing, one mechanism off");
-        report.play_pairs(&FILING_FAULTS, &REQUEST_STEPS, SWITCHED_PAIRS, |plan| {
-            play_filings(plan, case.mechanisms)
+        report.play_pairs(&FILING_FAULTS, &REQUEST_STEPS, DISABLED_PAIRS, |plan| {
+            run_filings(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.promise);
+        report.assert_notices(case.mechanism, case.guarantee);
     }
 }
--- a/tests/matrix/tests/all/requests.rs
+++ b/tests/matrix/tests/all/requests.rs
@@ -2,65 +2,66 @@
 
 use lovagelatch_matrix::MatrixReport;
 use lovagelatch_matrix::requests::{
-    REQUEST_FAULTS, REQUEST_STEPS, RequestMechanisms, play_requests,
+    REQUEST_FAULTS, REQUEST_STEPS, RequestMechanisms, run_requests,
 };
 
 const SEEDS: u64 = 6;
 const PAIRS: u64 = 1_000;
-const SWITCHED_SEEDS: u64 = 2;
+const DISABLED_SEEDS: u64 = 2;
 
-// Symptom: a request that ran is told as not run; an answer is crossed, cut or of another
-// service.
-// Sequence: one fault before each step of a request.
-// Cause: a step that is taken for proof and is none.
+// Guards against requests that ran but are reported as not run, and against responses that are
+// crossed, truncated or from another service, because an event is wrongly treated as proof. One
+// fault is injected before each step.
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("request, one fault");
     report.play_singles(&REQUEST_FAULTS, &REQUEST_STEPS, 0..SEEDS, |plan| {
-        play_requests(plan, RequestMechanisms::default())
+        run_requests(plan, RequestMechanisms::default())
     });
     report.assert_sound();
 }
 
-// Symptom, cause: as above.
-// Sequence: two faults, or the same one twice.
+// Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("request, two faults");
     report.play_pairs(&REQUEST_FAULTS, &REQUEST_STEPS, PAIRS, |plan| {
-        play_requests(plan, RequestMechanisms::default())
+        run_requests(plan, RequestMechanisms::default())
     });
     report.assert_sound();
 }
 
-struct Switched {
+struct DisabledMechanism {
     mechanism: &'static str,
     mechanisms: RequestMechanisms,
-    promise: &'static str,
+    guarantee: &'static str,
 }
 
-fn switched() -> [Switched; 6] {
+fn disabled_mechanisms() -> [DisabledMechanism; 6] {
     let on = RequestMechanisms::default();
-    let case = |mechanism, mechanisms, promise| Switched {
+    let case = |mechanism, mechanisms, guarantee| DisabledMechanism {
         mechanism,
         mechanisms,
-        promise,
+        guarantee,
     };
-    let no_ready = RequestMechanisms { ready: false, ..on };
-    let no_proof = RequestMechanisms {
-        cancel_proof: false,
+    let no_ready = RequestMechanisms {
+        await_ready: false,
         ..on
     };
-    let any_server = RequestMechanisms {
-        same_server: false,
+    let no_confirmed_cancel = RequestMechanisms {
+        confirmed_cancel: false,
+        ..on
+    };
+    let any_server_cancel = RequestMechanisms {
+        same_server_cancel: false,
         ..on
     };
     let no_matching = RequestMechanisms {
-        matching: false,
+        attempt_matching: false,
         ..on
     };
-    let no_end = RequestMechanisms {
-        whole_answers: false,
+    let no_complete_responses = RequestMechanisms {
+        complete_responses: false,
         ..on
     };
     let no_service_check = RequestMechanisms {
@@ -73,24 +74,31 @@
             no_ready,
             "not_run_but_ran",
         ),
-        case("confirmed cancellation", no_proof, "not_run_but_ran"),
-        case("cancellation by the same server", any_server, "ran_again"),
+        case(
+            "confirmed cancellation",
+            no_confirmed_cancel,
+            "not_run_but_ran",
+        ),
+        case(
+            "cancellation by the same server",
+            any_server_cancel,
+            "ran_again",
+        ),
         case("matching by attempt", no_matching, "crossed"),
-        case("the end of an answer", no_end, "cut"),
+        case("end of a response", no_complete_responses, "cut"),
         case("service check of a gate", no_service_check, "wrong_service"),
     ]
 }
 
-// Symptom: the matrix passes whatever the code does.
-// Sequence: each mechanism is switched off in turn.
-// Cause: a check that cannot fail.
+// Guards against checks that cannot fail: with any one mechanism disabled, the guarantee that
+// depends on it must be violated.
 #[test]
-fn each_check_notices_its_mechanism() {
-    for case in switched() {
+fn each_disabled_mechanism_is_detected() {
+    for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("request, one mechanism off");
-        report.play_singles(&REQUEST_FAULTS, &REQUEST_STEPS, 0..SWITCHED_SEEDS, |plan| {
-            play_requests(plan, case.mechanisms)
+        report.play_singles(&REQUEST_FAULTS, &REQUEST_STEPS, 0..DISABLED_SEEDS, |plan| {
+            run_requests(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.promise);
+        report.assert_notices(case.mechanism, case.guarantee);
     }
 }
