--- a/tests/matrix/tests/all/checks.rs
+++ b/tests/matrix/tests/all/checks.rs
@@ -1,4 +1,4 @@
-//! Each check on a history that breaks its promise, and on the same one without the break.
+//! Each check on a history that violates its guarantee, and on a similar one that does not.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -69,10 +69,10 @@
 }
 
 struct CheckCase {
-    promise: &'static str,
-    /// Events, one a second.
-    broken: Vec<MatrixEvent>,
-    kept: Vec<MatrixEvent>,
+    guarantee: &'static str,
+    /// Events, at one per second.
+    violating: Vec<MatrixEvent>,
+    valid: Vec<MatrixEvent>,
 }
 
 fn flow_cases() -> Vec<CheckCase> {
@@ -82,14 +82,14 @@
     let leaving = || MatrixEvent::LeavingSaid(agent(1));
     vec![
         CheckCase {
-            promise: "flow_moved_agent",
-            broken: vec![opened(), held(), taken(2, CLAIMS)],
-            kept: vec![opened(), held(), taken(1, CLAIMS)],
+            guarantee: "flow_moved_agent",
+            violating: vec![opened(), held(), taken(2, CLAIMS)],
+            valid: vec![opened(), held(), taken(1, CLAIMS)],
         },
         CheckCase {
-            promise: "wrong_service",
-            broken: vec![opened(), held(), MatrixEvent::AddressPassed, taken(1, MAPS)],
-            kept: vec![
+            guarantee: "wrong_service",
+            violating: vec![opened(), held(), MatrixEvent::AddressPassed, taken(1, MAPS)],
+            valid: vec![
                 opened(),
                 held(),
                 MatrixEvent::AddressPassed,
@@ -97,29 +97,29 @@
             ],
         },
         CheckCase {
-            promise: "cut",
-            broken: vec![opened(), held(), wrongly(true), reset()],
-            kept: vec![opened(), held(), ended(), reset()],
+            guarantee: "cut",
+            violating: vec![opened(), held(), wrongly(true), reset()],
+            valid: vec![opened(), held(), ended(), reset()],
         },
         CheckCase {
-            promise: "cut",
-            broken: vec![opened(), held(), wrongly(false), reset()],
-            kept: vec![opened(), held(), wrongly(true), wrongly(false), reset()],
+            guarantee: "cut",
+            violating: vec![opened(), held(), wrongly(false), reset()],
+            valid: vec![opened(), held(), wrongly(true), wrongly(false), reset()],
         },
         CheckCase {
-            promise: "flow_broken",
-            broken: vec![opened(), held(), MatrixEvent::AddressPassed, silent()],
-            kept: vec![opened(), held(), taken(1, CLAIMS)],
+            guarantee: "flow_broken",
+            violating: vec![opened(), held(), MatrixEvent::AddressPassed, silent()],
+            valid: vec![opened(), held(), taken(1, CLAIMS)],
         },
         CheckCase {
-            promise: "dead_flow_silent",
-            broken: vec![opened(), held(), ended(), silent()],
-            kept: vec![opened(), held(), ended(), reset()],
+            guarantee: "dead_flow_silent",
+            violating: vec![opened(), held(), ended(), silent()],
+            valid: vec![opened(), held(), ended(), reset()],
         },
         CheckCase {
-            promise: "dead_flow_silent",
-            broken: vec![opened(), held(), ended(), leaving(), silent()],
-            kept: vec![opened(), held(), leaving(), ended(), silent()],
+            guarantee: "dead_flow_silent",
+            violating: vec![opened(), held(), ended(), leaving(), silent()],
+            valid: vec![opened(), held(), leaving(), ended(), silent()],
         },
     ]
 }
@@ -129,24 +129,24 @@
     let work = |number| MatrixEvent::WorkTaken(agent(number));
     vec![
         CheckCase {
-            promise: "new_work_after_leaving",
-            broken: vec![said(), work(1), work(2), work(2), work(1)],
-            kept: vec![said(), work(1), work(1), work(1), work(2)],
+            guarantee: "new_work_after_leaving",
+            violating: vec![said(), work(1), work(2), work(2), work(1)],
+            valid: vec![said(), work(1), work(1), work(1), work(2)],
         },
         CheckCase {
-            promise: "revision_reverted",
-            broken: vec![in_force(2, true), in_force(1, true)],
-            kept: vec![in_force(1, true), in_force(2, true)],
+            guarantee: "revision_reverted",
+            violating: vec![in_force(2, true), in_force(1, true)],
+            valid: vec![in_force(1, true), in_force(2, true)],
         },
         CheckCase {
-            promise: "invalid_in_force",
-            broken: vec![in_force(2, false)],
-            kept: vec![in_force(2, true)],
+            guarantee: "invalid_in_force",
+            violating: vec![in_force(2, false)],
+            valid: vec![in_force(2, true)],
         },
         CheckCase {
-            promise: "late_in_force",
-            broken: vec![due(1, 9)],
-            kept: vec![due(1, 8), due(0, 9)],
+            guarantee: "late_in_force",
+            violating: vec![due(1, 9)],
+            valid: vec![due(1, 8), due(0, 9)],
         },
     ]
 }
@@ -160,23 +160,27 @@
 }
 
 #[test]
-fn each_check_tells_broken_from_kept() {
+fn each_check_detects_violations_only() {
     for case in flow_cases().into_iter().chain(other_cases()) {
-        let promise = case.promise;
-        let broken = history(&case.broken).violations();
+        let guarantee = case.guarantee;
+        let violating = history(&case.violating).violations();
         assert_eq!(
-            broken.get(promise),
+            violating.get(guarantee),
             Some(&1),
-            "{promise}: {:?}",
-            case.broken
+            "{guarantee}: {:?}",
+            case.violating
+        );
+        let valid = history(&case.valid).violations();
+        assert!(
+            valid.is_empty(),
+            "{guarantee}: {valid:?} in {:?}",
+            case.valid
         );
-        let kept = history(&case.kept).violations();
-        assert!(kept.is_empty(), "{promise}: {kept:?} in {:?}", case.kept);
     }
 }
 
 #[test]
-fn a_request_that_is_started_twice_is_noticed() {
+fn a_request_started_twice_is_detected() {
     let start = |run, request: &str| BackendRecord::Start {
         time_ms: 1.0,
         run,
@@ -201,8 +205,8 @@
 #[test]
 fn each_check_of_this_package_has_a_case() {
     let cases: Vec<CheckCase> = flow_cases().into_iter().chain(other_cases()).collect();
-    for (promise, _) in PROMISES {
-        let covered = cases.iter().any(|case| case.promise == promise);
-        assert!(covered || promise == "ran_again", "{promise}");
+    for (guarantee, _) in PROMISES {
+        let covered = cases.iter().any(|case| case.guarantee == guarantee);
+        assert!(covered || guarantee == "ran_again", "{guarantee}");
     }
 }
--- a/tests/matrix/tests/all/configuration.rs
+++ b/tests/matrix/tests/all/configuration.rs
@@ -6,9 +6,9 @@
 const SEEDS: u64 = 2;
 const PAIRS: u64 = 50;
 
-// Symptom: a process reverts to an older configuration, takes an invalid one, or stays behind.
-// Sequence: one fault before each step of an operator, for one step or for four.
-// Cause: any place that takes a lower revision or another content, or that forgets to ask again.
+// Guards against processes that revert to an older configuration, apply an invalid one or stay
+// behind, because code accepts a lower revision or different content, or does not retry a query.
+// One fault is injected before each step of an operator and lasts for one step or four.
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("configuration, one fault");
@@ -16,8 +16,7 @@
     report.assert_sound();
 }
 
-// Symptom, cause: as above.
-// Sequence: two faults, or the same one twice.
+// Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("configuration, two faults");
--- a/tests/matrix/tests/all/flows.rs
+++ b/tests/matrix/tests/all/flows.rs
@@ -1,15 +1,14 @@
-//! Flows under every fault at every step.
+//! QUIC flows under every fault at every step.
 
 use lovagelatch_matrix::MatrixReport;
 use lovagelatch_matrix::flows::{FLOW_FAULTS, FLOW_STEPS, FlowMechanisms, run_flows};
 
 const SEEDS: u64 = 6;
 const PAIRS: u64 = 1_000;
-const SWITCHED_PAIRS: u64 = 200;
+const DISABLED_PAIRS: u64 = 200;
 
-// Symptom: a flow breaks, moves to another agent or reaches another service.
-// Sequence: one fault before each step of a flow.
-// Cause: a decision about an open flow that rests on a view.
+// Guards against an open flow that breaks, moves to another agent or reaches another service,
+// because a decision about it depends on a view alone. One fault is injected before each step.
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("flow, one fault");
@@ -19,8 +18,7 @@
     report.assert_sound();
 }
 
-// Symptom, cause: as above.
-// Sequence: two faults, or the same one twice.
+// Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("flow, two faults");
@@ -30,18 +28,18 @@
     report.assert_sound();
 }
 
-struct Switched {
+struct DisabledMechanism {
     mechanism: &'static str,
     mechanisms: FlowMechanisms,
-    promise: &'static str,
+    guarantee: &'static str,
 }
 
-fn switched() -> [Switched; 5] {
+fn disabled_mechanisms() -> [DisabledMechanism; 5] {
     let on = FlowMechanisms::default();
-    let case = |mechanism, mechanisms, promise| Switched {
+    let case = |mechanism, mechanisms, guarantee| DisabledMechanism {
         mechanism,
         mechanisms,
-        promise,
+        guarantee,
     };
     let no_tokens = FlowMechanisms {
         tokens: false,
@@ -55,11 +53,11 @@
         service_check: false,
         ..on
     };
-    let no_generation = FlowMechanisms {
+    let no_reset_generation = FlowMechanisms {
         reset_generation: false,
         ..on
     };
-    let no_absence = FlowMechanisms {
+    let no_absence_tracking = FlowMechanisms {
         absence_tracking: false,
         ..on
     };
@@ -67,21 +65,24 @@
         case("routing by token", no_tokens, "cut"),
         case("two views for a reset", no_two_views, "cut"),
         case("service check", no_service_check, "wrong_service"),
-        case("generation of a reset", no_generation, "dead_flow_silent"),
-        case("knowing who is gone", no_absence, "dead_flow_silent"),
+        case(
+            "key generation of a reset",
+            no_reset_generation,
+            "dead_flow_silent",
+        ),
+        case("absence tracking", no_absence_tracking, "dead_flow_silent"),
     ]
 }
 
-// Symptom: the matrix passes whatever the code does.
-// Sequence: each mechanism is switched off in turn.
-// Cause: a check that cannot fail.
+// Guards against checks that cannot fail: with any one mechanism disabled, the guarantee that
+// depends on it must be violated.
 #[test]
-fn each_check_notices_its_mechanism() {
-    for case in switched() {
+fn each_disabled_mechanism_is_detected() {
+    for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("flow, one mechanism off");
-        report.play_pairs(&FLOW_FAULTS, &FLOW_STEPS, SWITCHED_PAIRS, |plan| {
+        report.play_pairs(&FLOW_FAULTS, &FLOW_STEPS, DISABLED_PAIRS, |plan| {
             run_flows(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.promise);
+        report.assert_notices(case.mechanism, case.guarantee);
     }
 }
--- a/tests/matrix/tests/all/leaving.rs
+++ b/tests/matrix/tests/all/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving under every fault at every step.
+//! Leaving instances under every fault at every step.
 
 use lovagelatch_matrix::MatrixReport;
 use lovagelatch_matrix::leaving::{
@@ -7,11 +7,11 @@
 
 const SEEDS: u64 = 2;
 const PAIRS: u64 = 50;
-const SWITCHED_SEEDS: u64 = 4;
+const DISABLED_SEEDS: u64 = 4;
 
-// Symptom: a leaving instance is given new flows or requests.
-// Sequence: one fault before, at or after its first notice; the list names it to the end.
-// Cause: a view or a report that is believed although it is old.
+// Guards against new flows or requests on a leaving instance, because a stale view or report is
+// trusted. One fault is injected before, at or after the instance's first notice; the list of
+// instances contains it until the end.
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("leaving, one fault");
@@ -21,8 +21,7 @@
     report.assert_sound();
 }
 
-// Symptom, cause: as above.
-// Sequence: two faults, or the same one twice.
+// Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("leaving, two faults");
@@ -32,26 +31,24 @@
     report.assert_sound();
 }
 
-// Symptom: the matrix passes whatever the code does.
-// Sequence: a mechanism is switched off, while a balancer sleeps through the first notice or the
-// leaving agent's zone is not heard. Handing on is needed where the word did not arrive, and
-// enough there.
-// Cause: a check that cannot fail.
+// Guards against checks that cannot fail: mechanisms are disabled while a balancer sleeps through
+// the first notice or nothing from the leaving agent's zone is received. Where the notice did not
+// arrive, forwarding is necessary and sufficient.
 #[test]
-fn each_check_notices_its_mechanism() {
+fn each_disabled_mechanism_is_detected() {
     let on = LeavingMechanisms::default();
-    let no_hand_on = LeavingMechanisms {
+    let no_forwarding = LeavingMechanisms {
         hand_on: false,
         ..on
     };
-    let no_word = LeavingMechanisms {
+    let no_notice = LeavingMechanisms {
         word: false,
-        ..no_hand_on
+        ..no_forwarding
     };
     let no_gate = LeavingMechanisms { gate: false, ..on };
     let cases = [
-        ("handing flows on", no_hand_on),
-        ("handing on and the first notice", no_word),
+        ("forwarding of flows", no_forwarding),
+        ("forwarding and the first notice", no_notice),
         ("refusal of a leaving gate", no_gate),
     ];
     let faults = [LeavingFault::BalancerSleeps, LeavingFault::ZoneUnheard];
@@ -60,7 +57,7 @@
         report.play_singles(
             &faults,
             &[LeavingStep::FirstWord],
-            0..SWITCHED_SEEDS,
+            0..DISABLED_SEEDS,
             |plan| play_leaving(plan, mechanisms),
         );
         report.assert_notices(mechanism, "new_work_after_leaving");
--- a/tests/matrix/tests/all/main.rs
+++ b/tests/matrix/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! The matrix and the tests of its checks.
+//! Runs the fault matrix and tests its checks.
 
 mod checks;
 mod configuration;
--- a/tests/matrix/tests/all/opaque.rs
+++ b/tests/matrix/tests/all/opaque.rs
@@ -7,10 +7,10 @@
 use lovagelatch_matrix::{FaultPlan, MatrixReport, RunHistory};
 
 const SEEDS: u64 = 3;
-/// `MATRIX_PAIRS` asks for more.
+/// Overridden by the environment variable `MATRIX_PAIRS`.
 const PAIRS: u64 = 500;
-const SWITCHED_PAIRS: u64 = 150;
-/// The same for a mechanism that few of them need.
+const DISABLED_PAIRS: u64 = 150;
+/// For mechanisms that matter in only few of the pairs.
 const RARE_PAIRS: u64 = 600;
 
 #[test]
@@ -26,10 +26,9 @@
     }
 }
 
-// Symptom: an open feed is reset, goes silent for good or reaches another service; a leaving target
-// gets new flows; what was refused ran.
-// Sequence: one fault before each step of a flow.
-// Cause: a decision that rests on a memory or a view alone.
+// Guards against open feeds that are reset, stay silent or reach another service, against new
+// flows to a leaving target and against refused requests that ran, because a decision depends on
+// remembered state or a view alone. One fault is injected before each step.
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("opaque flow, one fault");
@@ -39,12 +38,13 @@
     report.assert_sound();
 }
 
-// Symptom, cause: as above.
-// Sequence: two faults, or the same one twice.
+// Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
-    let asked = std::env::var("MATRIX_PAIRS").ok();
-    let pairs = asked.and_then(|text| text.parse().ok()).unwrap_or(PAIRS);
+    let requested = std::env::var("MATRIX_PAIRS").ok();
+    let pairs = requested
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(PAIRS);
     let mut report = MatrixReport::new("opaque flow, two faults");
     report.play_pairs(&OPAQUE_FAULTS, &OPAQUE_STEPS, pairs, |plan| {
         play_opaque(plan, OpaqueMechanisms::default())
@@ -58,11 +58,12 @@
     steps: &'static [OpaqueStep],
 }
 
-// Symptom: in a fleet of hundreds nothing is told of lost flows for four seconds after a loss of power, or
-// an open one is reset. Sequence: flows are searched for in two steps, through other agents; former starts
-// stand in the store beside the present ones. Cause: a decision that counts entries, or everybody's word.
+// Guards against fleets of hundreds of processes in which lost flows are not reset within four
+// seconds after a power loss, or open flows are reset, because a decision counts entries of the
+// store or requires a reply from every agent. Such fleets search for flows in two phases, by
+// delegation to other agents, and the store lists former starts beside the current ones.
 #[test]
-fn fleets_of_any_size_keep_the_promises() {
+fn fleets_of_any_size_keep_the_guarantees() {
     use OpaqueFault as Fault;
     let cases = [
         FleetCase {
@@ -99,52 +100,52 @@
     }
 }
 
-struct FailedOnce {
+struct RegressionPlan {
     cause: &'static str,
     strikes: [(OpaqueFault, OpaqueStep); 2],
     seed: u64,
 }
 
-// Symptom, sequence: each plan broke a promise once. Cause: beside it.
+// Guards against regressions: each plan once violated a guarantee, for the cause beside it.
 #[test]
-fn plans_that_failed_once_hold() {
+fn plans_that_failed_once_pass() {
     use OpaqueFault as Fault;
     use OpaqueStep as Step;
     let cases = [
-        FailedOnce {
-            cause: "a search of a moved route's new service was taken for proof",
+        RegressionPlan {
+            cause: "a search among the new service of a moved route was treated as proof",
             strikes: [
                 (Fault::RouteMoved, Step::Response),
                 (Fault::BalancerStops, Step::Request),
             ],
             seed: 36,
         },
-        FailedOnce {
-            cause: "the same, by balancers that all restarted",
+        RegressionPlan {
+            cause: "the same, after all balancers restarted",
             strikes: [
                 (Fault::AllBalancersKilled, Step::LaterRequest),
                 (Fault::RouteMoved, Step::Opening),
             ],
             seed: 253,
         },
-        FailedOnce {
-            cause: "a fresh balancer did not know of the store's trouble",
+        RegressionPlan {
+            cause: "a restarted balancer did not know of the store failure",
             strikes: [
                 (Fault::EntriesLapse, Step::LaterRequest),
                 (Fault::RouterRehashed, Step::LaterRequest),
             ],
             seed: 3_553,
         },
-        FailedOnce {
-            cause: "a late copy of a first packet was refused for its dropped route",
+        RegressionPlan {
+            cause: "a late duplicate of a first packet was refused because its route was dropped",
             strikes: [
                 (Fault::RouteDropped, Step::Answer),
                 (Fault::Delay, Step::Opening),
             ],
             seed: 1_359,
         },
-        FailedOnce {
-            cause: "a flow offered twice was taken to be where an answer had been heard",
+        RegressionPlan {
+            cause: "a flow offered twice was assumed to be at the target that had responded",
             strikes: [
                 (Fault::TargetLeaves, Step::Opening),
                 (Fault::Cut, Step::Answer),
@@ -162,38 +163,38 @@
     }
 }
 
-struct Switched {
+struct DisabledMechanism {
     mechanism: &'static str,
     mechanisms: OpaqueMechanisms,
-    /// Faults against which it is there.
+    /// The faults that the mechanism handles.
     faults: &'static [OpaqueFault],
-    /// How many pairs of them are played.
+    /// How many pairs of faults are run.
     pairs: u64,
-    promise: &'static str,
+    guarantee: &'static str,
 }
 
-fn switched() -> [Switched; 8] {
+fn disabled_mechanisms() -> [DisabledMechanism; 8] {
     use OpaqueFault as Fault;
     let on = OpaqueMechanisms::default();
     [
-        Switched {
-            mechanism: "asking all who may hold a flow",
+        DisabledMechanism {
+            mechanism: "search of all possible holders",
             mechanisms: OpaqueMechanisms {
                 search: false,
                 ..on
             },
             faults: &[Fault::AllBalancersKilled, Fault::RouterRehashed],
-            pairs: SWITCHED_PAIRS,
-            promise: "not_recovered",
+            pairs: DISABLED_PAIRS,
+            guarantee: "not_recovered",
         },
-        Switched {
-            mechanism: "trying strangers' packets",
+        DisabledMechanism {
+            mechanism: "offering packets of unknown flows",
             mechanisms: OpaqueMechanisms { trial: false, ..on },
             faults: &[Fault::AllProcessesKilled, Fault::AgentKilled],
-            pairs: SWITCHED_PAIRS,
-            promise: "open_flow_reset",
+            pairs: DISABLED_PAIRS,
+            guarantee: "open_flow_reset",
         },
-        Switched {
+        DisabledMechanism {
             mechanism: "service check",
             mechanisms: OpaqueMechanisms {
                 service_check: false,
@@ -201,71 +202,70 @@
             },
             faults: &[Fault::AddressReused, Fault::StaleView],
             pairs: RARE_PAIRS,
-            promise: "wrong_service",
+            guarantee: "wrong_service",
         },
-        Switched {
-            mechanism: "number check",
+        DisabledMechanism {
+            mechanism: "acknowledgement number check",
             mechanisms: OpaqueMechanisms {
                 number_check: false,
                 ..on
             },
             faults: &[Fault::Reorder, Fault::AgentPaused, Fault::Duplicate],
-            pairs: SWITCHED_PAIRS,
-            promise: "open_flow_reset",
+            pairs: DISABLED_PAIRS,
+            guarantee: "open_flow_reset",
         },
-        Switched {
+        DisabledMechanism {
             mechanism: "leaving targets",
             mechanisms: OpaqueMechanisms {
                 leaving: false,
                 ..on
             },
             faults: &[Fault::TargetLeaves],
-            pairs: SWITCHED_PAIRS,
-            promise: "new_flow_after_leaving",
+            pairs: DISABLED_PAIRS,
+            guarantee: "new_flow_after_leaving",
         },
-        Switched {
+        DisabledMechanism {
             mechanism: "resets of lost flows",
             mechanisms: OpaqueMechanisms {
                 resets: false,
                 ..on
             },
             faults: &[Fault::PowerLost, Fault::TargetRestarted],
-            pairs: SWITCHED_PAIRS,
-            promise: "not_recovered",
+            pairs: DISABLED_PAIRS,
+            guarantee: "not_recovered",
         },
-        Switched {
-            mechanism: "doubt in the store's trouble",
+        DisabledMechanism {
+            mechanism: "doubt during store failures",
             mechanisms: OpaqueMechanisms {
                 lapses: false,
                 ..on
             },
             faults: &[Fault::EntriesLapse, Fault::AllBalancersKilled],
-            pairs: SWITCHED_PAIRS,
-            promise: "open_flow_reset",
+            pairs: DISABLED_PAIRS,
+            guarantee: "open_flow_reset",
         },
-        Switched {
+        DisabledMechanism {
             mechanism: "evacuated zones",
             mechanisms: OpaqueMechanisms {
                 evacuation: false,
                 ..on
             },
             faults: &[Fault::ZoneEvacuated, Fault::PowerLost],
-            pairs: SWITCHED_PAIRS,
-            promise: "new_flow_in_evacuated_zone",
+            pairs: DISABLED_PAIRS,
+            guarantee: "new_flow_in_evacuated_zone",
         },
     ]
 }
 
-// Symptom: the matrix passes whatever the code does.
-// Sequence: each mechanism is switched off in turn.
-// Cause: a check that cannot fail.
+// Guards against checks that cannot fail: with any one mechanism disabled, the guarantee that
+// depends on it must be violated.
 #[test]
-fn each_check_notices_its_mechanism() {
-    for case in switched() {
+fn each_disabled_mechanism_is_detected() {
+    for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("opaque flow, one mechanism off");
         report.play_pairs(case.faults, &OPAQUE_STEPS, case.pairs, |plan| {
             play_opaque(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.promise);
+        report.assert_notices(case.mechanism, case.guarantee);
     }
 }
