--- a/tests/matrix/tests/all/checks.rs
+++ b/tests/matrix/tests/all/checks.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn taken(by: u16, service: ServiceId) -> MatrixEvent {
+fn accepted(by: u16, service: ServiceId) -> MatrixEvent {
     MatrixEvent::PacketTaken {
         flow: 1,
         taker: start(by),
@@ -44,7 +44,7 @@
     }
 }
 
-fn in_force(revision: u64, sound: bool) -> MatrixEvent {
+fn applied(revision: u64, sound: bool) -> MatrixEvent {
     MatrixEvent::InForce {
         node: 1,
         start: 1,
@@ -53,7 +53,7 @@
     }
 }
 
-fn due(missing: usize, seconds: u64) -> MatrixEvent {
+fn propagation_due(missing: usize, seconds: u64) -> MatrixEvent {
     MatrixEvent::SpreadDue {
         revision: 2,
         missing,
@@ -61,7 +61,7 @@
     }
 }
 
-fn wrongly(gone: bool) -> MatrixEvent {
+fn wrong_view(gone: bool) -> MatrixEvent {
     MatrixEvent::HeldWrongly {
         agent: agent(1),
         gone,
@@ -83,33 +83,44 @@
     vec![
         CheckCase {
             guarantee: "flow_moved_agent",
-            violating: vec![opened(), held(), taken(2, CLAIMS)],
-            valid: vec![opened(), held(), taken(1, CLAIMS)],
+            violating: vec![opened(), held(), accepted(2, CLAIMS)],
+            valid: vec![opened(), held(), accepted(1, CLAIMS)],
         },
         CheckCase {
             guarantee: "wrong_service",
-            violating: vec![opened(), held(), MatrixEvent::AddressPassed, taken(1, MAPS)],
+            violating: vec![
+                opened(),
+                held(),
+                MatrixEvent::AddressPassed,
+                accepted(1, MAPS),
+            ],
             valid: vec![
                 opened(),
                 held(),
                 MatrixEvent::AddressPassed,
-                taken(1, CLAIMS),
+                accepted(1, CLAIMS),
             ],
         },
         CheckCase {
             guarantee: "cut",
-            violating: vec![opened(), held(), wrongly(true), reset()],
+            violating: vec![opened(), held(), wrong_view(true), reset()],
             valid: vec![opened(), held(), ended(), reset()],
         },
         CheckCase {
             guarantee: "cut",
-            violating: vec![opened(), held(), wrongly(false), reset()],
-            valid: vec![opened(), held(), wrongly(true), wrongly(false), reset()],
+            violating: vec![opened(), held(), wrong_view(false), reset()],
+            valid: vec![
+                opened(),
+                held(),
+                wrong_view(true),
+                wrong_view(false),
+                reset(),
+            ],
         },
         CheckCase {
             guarantee: "flow_broken",
             violating: vec![opened(), held(), MatrixEvent::AddressPassed, silent()],
-            valid: vec![opened(), held(), taken(1, CLAIMS)],
+            valid: vec![opened(), held(), accepted(1, CLAIMS)],
         },
         CheckCase {
             guarantee: "dead_flow_silent",
@@ -125,28 +136,28 @@
 }
 
 fn other_cases() -> Vec<CheckCase> {
-    let said = || MatrixEvent::LeavingSaid(agent(1));
+    let announced = || MatrixEvent::LeavingSaid(agent(1));
     let work = |number| MatrixEvent::WorkTaken(agent(number));
     vec![
         CheckCase {
             guarantee: "new_work_after_leaving",
-            violating: vec![said(), work(1), work(2), work(2), work(1)],
-            valid: vec![said(), work(1), work(1), work(1), work(2)],
+            violating: vec![announced(), work(1), work(2), work(2), work(1)],
+            valid: vec![announced(), work(1), work(1), work(1), work(2)],
         },
         CheckCase {
             guarantee: "revision_reverted",
-            violating: vec![in_force(2, true), in_force(1, true)],
-            valid: vec![in_force(1, true), in_force(2, true)],
+            violating: vec![applied(2, true), applied(1, true)],
+            valid: vec![applied(1, true), applied(2, true)],
         },
         CheckCase {
             guarantee: "invalid_in_force",
-            violating: vec![in_force(2, false)],
-            valid: vec![in_force(2, true)],
+            violating: vec![applied(2, false)],
+            valid: vec![applied(2, true)],
         },
         CheckCase {
             guarantee: "late_in_force",
-            violating: vec![due(1, 9)],
-            valid: vec![due(1, 8), due(0, 9)],
+            violating: vec![propagation_due(1, 9)],
+            valid: vec![propagation_due(1, 8), propagation_due(0, 9)],
         },
     ]
 }
