--- a/standins/backend/src/fault.rs
+++ b/standins/backend/src/fault.rs
@@ -1,4 +1,4 @@
-//! What the server says of itself, and the faults a test has switched on.
+//! Fault injection: faulty responses, and health and load reports that lag or mislead.
 
 use std::time::{Duration, Instant};
 
@@ -6,57 +6,61 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// The shares of answers that come crossed, cut and late. A late answer holds the agent's slot
-/// until the request's deadline; a share of a few percent would hold them all, and then hardly
-/// any answer would be left to be crossed or cut.
+/// Share of responses that carry the content and ids of another request.
 const CROSSED_SHARE: f64 = 0.05;
-const CUT_SHARE: f64 = 0.05;
-const LATE_SHARE: f64 = 0.01;
 
-/// The share of health reads that mislead.
+/// Share of responses that are truncated.
+const TRUNCATED_SHARE: f64 = 0.05;
+
+/// Share of responses that are delayed. A delayed response holds a slot of the agent until the
+/// deadline of its request: at a few percent, delayed responses would hold all slots and hardly
+/// any response could be crossed or truncated.
+const DELAYED_SHARE: f64 = 0.01;
+
+/// Share of health reads that report warming regardless of the true state.
 const MISLEADING_SHARE: f64 = 0.2;
 
-/// How long a misleading health read says that the server is still warming.
-const MISLEADING_WARMING: Duration = Duration::from_secs(5);
+/// Remaining warm-up time in a misleading health read.
+const MISLEADING_WARMUP: Duration = Duration::from_secs(5);
 
-/// What the health endpoint says.
+/// The state that the health endpoint reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthState {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It is still starting.
+    /// The server is in its cold start.
     Warming,
-    /// It wants no new requests.
+    /// The server should get no new requests.
     Draining,
 }
 
-/// A change of the faults; what is left out stays as it is.
+/// A change of the injected faults. Fields that are left out stay unchanged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FaultChange {
-    /// `draining`: the server begins to leave; it does not come back.
+    /// `draining` starts the drain, which cannot be undone. Other states have no effect.
     pub state: Option<HealthState>,
-    /// Answers come crossed, late or cut now and then.
+    /// Whether some responses are crossed, delayed or truncated.
     pub crossed_answers: Option<bool>,
-    /// Health and load mislead.
+    /// Whether health and load reports are wrong.
     pub load_misleads: Option<bool>,
-    /// How far health lags, in milliseconds.
+    /// How far the health report lags behind the true state, in milliseconds.
     pub health_lag_ms: Option<u64>,
-    /// Cancellations are taken and their answers lost.
+    /// Whether cancellations take effect but get no response.
     pub lose_cancellations: Option<bool>,
 }
 
-/// What happens to one answer.
+/// The fault of one response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerFault {
+pub(crate) enum ResponseFault {
     None,
-    /// It bears the marks of the answer before it.
+    /// It carries the content and ids of the previous request.
     Crossed,
-    /// It is held back.
-    Late,
-    /// It breaks off in the middle.
-    Cut,
+    /// It is delayed.
+    Delayed,
+    /// It is truncated in the middle.
+    Truncated,
 }
 
 #[derive(Debug, Default)]
@@ -68,26 +72,26 @@
     lose_cancellations: bool,
 }
 
-/// The faults that are on, and the states they hide.
+/// The true health state of the server and the faults that distort its reports and responses.
 #[derive(Debug)]
-pub struct FaultBoard {
+pub struct FaultInjector {
     started: Instant,
-    cold: Duration,
+    cold_start: Duration,
     state: Mutex<FaultState>,
 }
 
-impl FaultBoard {
-    /// A server that starts now and needs `cold` until it works at full speed.
+impl FaultInjector {
+    /// Returns the injector of a server that starts now and is warm after `cold_start`.
     #[must_use]
-    pub fn new(cold: Duration) -> Self {
+    pub fn new(cold_start: Duration) -> Self {
         Self {
             started: Instant::now(),
-            cold,
+            cold_start,
             state: Mutex::default(),
         }
     }
 
-    /// Takes a change; true when the server begins to leave by it.
+    /// Applies a change. Returns whether the change started the drain.
     pub fn apply(&self, change: &FaultChange) -> bool {
         let mut state = self.state.lock();
         if let Some(crossed) = change.crossed_answers {
@@ -102,42 +106,44 @@
         if let Some(lose) = change.lose_cancellations {
             state.lose_cancellations = lose;
         }
-        let begins = change.state == Some(HealthState::Draining) && state.draining_since.is_none();
-        if begins {
+        let starts_drain =
+            change.state == Some(HealthState::Draining) && state.draining_since.is_none();
+        if starts_drain {
             state.draining_since = Some(Instant::now());
         }
-        begins
+        starts_drain
     }
 
-    /// How long the server still warms up.
+    /// Returns the time until the server is warm.
     #[must_use]
-    pub fn warming(&self) -> Duration {
-        self.cold.saturating_sub(self.started.elapsed())
+    pub fn warmup_remaining(&self) -> Duration {
+        self.cold_start.saturating_sub(self.started.elapsed())
     }
 
-    /// What the health endpoint says now, and the rest of warming that it claims.
-    pub fn shown_health(&self) -> (HealthState, Duration) {
+    /// Returns the state and the remaining warm-up time that the health endpoint reports.
+    pub fn reported_health(&self) -> (HealthState, Duration) {
         let state = self.state.lock();
         let lag = state.health_lag;
         if state.load_misleads && rand::rng().random_bool(MISLEADING_SHARE) {
-            return (HealthState::Warming, MISLEADING_WARMING);
+            return (HealthState::Warming, MISLEADING_WARMUP);
         }
         let draining = state.draining_since;
         if draining.is_some_and(|since| since.elapsed() >= lag) {
             return (HealthState::Draining, Duration::ZERO);
         }
-        let shown_age = self.started.elapsed().saturating_sub(lag);
-        let warming = self.cold.saturating_sub(shown_age);
-        if warming.is_zero() {
-            (HealthState::Ready, warming)
+        let reported_age = self.started.elapsed().saturating_sub(lag);
+        let remaining = self.cold_start.saturating_sub(reported_age);
+        if remaining.is_zero() {
+            (HealthState::Ready, remaining)
         } else {
-            (HealthState::Warming, warming)
+            (HealthState::Warming, remaining)
         }
     }
 
-    /// What the load endpoint says of `in_use` slots out of `slots`.
+    /// Returns the number of used slots that the load endpoint reports when `in_use` of `slots`
+    /// are in use.
     #[must_use]
-    pub fn shown_load(&self, in_use: u16, slots: u16) -> u16 {
+    pub fn reported_load(&self, in_use: u16, slots: u16) -> u16 {
         if self.state.lock().load_misleads {
             slots.saturating_sub(in_use)
         } else {
@@ -145,25 +151,25 @@
         }
     }
 
-    /// Whether the answer to a cancellation is lost.
+    /// Whether cancellations get no response.
     #[must_use]
     pub fn loses_cancellations(&self) -> bool {
         self.state.lock().lose_cancellations
     }
 
-    pub(crate) fn draw_answer_fault(&self) -> AnswerFault {
+    pub(crate) fn draw_response_fault(&self) -> ResponseFault {
         if !self.state.lock().crossed_answers {
-            return AnswerFault::None;
+            return ResponseFault::None;
         }
         let draw: f64 = rand::rng().random();
         if draw < CROSSED_SHARE {
-            AnswerFault::Crossed
-        } else if draw < CROSSED_SHARE + CUT_SHARE {
-            AnswerFault::Cut
-        } else if draw < CROSSED_SHARE + CUT_SHARE + LATE_SHARE {
-            AnswerFault::Late
+            ResponseFault::Crossed
+        } else if draw < CROSSED_SHARE + TRUNCATED_SHARE {
+            ResponseFault::Truncated
+        } else if draw < CROSSED_SHARE + TRUNCATED_SHARE + DELAYED_SHARE {
+            ResponseFault::Delayed
         } else {
-            AnswerFault::None
+            ResponseFault::None
         }
     }
 }
--- a/standins/backend/src/main.rs
+++ b/standins/backend/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts a backend server stand-in.
+//! `lovagelatch-backend`: runs one backend server stand-in.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -45,7 +45,7 @@
         service: line.service,
         target: line.target,
         slots: line.slots,
-        cold: Duration::from_millis(line.cold_ms),
+        cold_start: Duration::from_millis(line.cold_ms),
         history: line.history,
         dependency: line.gateway.map(|gateway| DependencyOptions {
             gateway,
--- a/standins/backend/src/request.rs
+++ b/standins/backend/src/request.rs
@@ -1,39 +1,41 @@
-//! What a request says of itself.
+//! Reads the parameters and ids of a request.
 
 use http::HeaderMap;
 use http::request::Parts;
 use serde::Deserialize;
 
-use crate::dependency::ATTEMPTS_HEADER;
+use crate::dependency::ATTEMPTS_LEFT_HEADER;
 
-/// How long a request holds a slot when it does not say, in milliseconds.
+/// How long a request without `work_ms` holds its slot.
 const DEFAULT_WORK_MS: u32 = 50;
 
-/// Longest a request may hold a slot, in milliseconds.
+/// Upper limit of `work_ms`.
 const MAX_WORK_MS: u32 = 60_000;
 
-/// Bytes of a download that does not say how many it wants, and the most it may want.
-const DEFAULT_BYTES: usize = 16 * 1024;
-const MAX_BYTES: usize = 64 * 1024 * 1024;
+/// Size of a download without `bytes`.
+const DEFAULT_DOWNLOAD_BYTES: usize = 16 * 1024;
 
-/// Header of the agent's attempt.
+/// Upper limit of `bytes`.
+const MAX_DOWNLOAD_BYTES: usize = 64 * 1024 * 1024;
+
+/// Header with the agent's id of the attempt.
 pub(crate) const ATTEMPT_HEADER: &str = "lovagelatch-attempt";
 
-/// Header of the caller's own id of its request.
+/// Header with the caller's id of the request.
 pub(crate) const REQUEST_HEADER: &str = "lovagelatch-caller-request";
 
-/// What marks a request in the history.
+/// The ids that identify a request in the history, and what its calls pass on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct RequestMarks {
+pub(crate) struct RequestMetadata {
     pub(crate) attempt: Option<String>,
     pub(crate) request: Option<String>,
     pub(crate) filing: Option<String>,
     pub(crate) feed: bool,
-    /// What the request says of attempts left; given back with calls that it needs.
+    /// The value of [`ATTEMPTS_LEFT_HEADER`], copied to the calls that the request causes.
     pub(crate) attempts_left: Option<String>,
 }
 
-impl RequestMarks {
+impl RequestMetadata {
     pub(crate) fn new(headers: &HeaderMap) -> Self {
         let text = |name: &str| {
             let value = headers.get(name)?.to_str().ok()?;
@@ -42,7 +44,7 @@
         Self {
             attempt: text(ATTEMPT_HEADER),
             request: text(REQUEST_HEADER),
-            attempts_left: text(ATTEMPTS_HEADER),
+            attempts_left: text(ATTEMPTS_LEFT_HEADER),
             ..Self::default()
         }
     }
@@ -62,7 +64,7 @@
     }
 }
 
-/// The number that a query gives a name, if it is one.
+/// Returns the number that the query gives for `name`, if it is valid.
 fn query_number<N: std::str::FromStr>(parts: &Parts, name: &str) -> Option<N> {
     let pairs = parts.uri.query()?.split('&');
     let found = pairs.filter_map(|pair| pair.split_once('='));
@@ -75,12 +77,12 @@
     work.min(MAX_WORK_MS)
 }
 
-/// Whether the request needs a document of the service's dependency.
+/// Whether the request causes a call to the dependency.
 pub(crate) fn needs_dependency(parts: &Parts) -> bool {
     query_number::<u8>(parts, "fetch") == Some(1)
 }
 
 pub(crate) fn download_bytes(parts: &Parts) -> usize {
-    let bytes = query_number(parts, "bytes").unwrap_or(DEFAULT_BYTES);
-    bytes.min(MAX_BYTES)
+    let bytes = query_number(parts, "bytes").unwrap_or(DEFAULT_DOWNLOAD_BYTES);
+    bytes.min(MAX_DOWNLOAD_BYTES)
 }
--- a/standins/backend/src/routes.rs
+++ b/standins/backend/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which request does what.
+//! Routes requests to their handlers.
 
 use std::sync::Arc;
 
@@ -10,19 +10,21 @@
 use serde::de::DeserializeOwned;
 use serde_json::json;
 
-use crate::answer::{AnswerBody, empty_answer, json_answer, mark_answer, streamed_body};
 use crate::fault::FaultChange;
-use crate::request::{FilingBody, RequestMarks, download_bytes, needs_dependency, work_ms};
+use crate::request::{FilingBody, RequestMetadata, download_bytes, needs_dependency, work_ms};
+use crate::response::{
+    ResponseBody, add_metadata_headers, empty_response, json_response, streamed_body,
+};
 use crate::runs::RunTable;
 use crate::work::{RequestWorker, RunTask, body_channel, send_feed};
 
-/// Prefix of the routes that the agent uses for itself.
-const OWN_PREFIX: &str = "/.well-known/lovagelatch/";
+/// Prefix of the routes that only the agent beside the server uses.
+const RESERVED_PREFIX: &str = "/.well-known/lovagelatch/";
 
-/// The largest body that is read.
+/// Limit of a request body; larger ones are refused as bad requests.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// Serves every route.
+/// Handles the requests of all connections.
 #[derive(Debug)]
 pub(crate) struct RequestRouter {
     pub(crate) runs: Arc<RunTable>,
@@ -30,19 +32,22 @@
 }
 
 impl RequestRouter {
-    /// Answers a request; `None` when there is to be no answer at all.
-    pub(crate) async fn answer(&self, request: Request<Incoming>) -> Option<Response<AnswerBody>> {
+    /// Handles a request. Returns `None` if the connection must close without a response.
+    pub(crate) async fn handle(
+        &self,
+        request: Request<Incoming>,
+    ) -> Option<Response<ResponseBody>> {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path().to_owned();
-        if let Some(own) = path.strip_prefix(OWN_PREFIX) {
-            return self.answer_own(own);
+        if let Some(reserved) = path.strip_prefix(RESERVED_PREFIX) {
+            return self.handle_reserved(reserved);
         }
         let mut segments = path.trim_matches('/').splitn(2, '/');
         let route = segments.next().unwrap_or_default();
         let id = segments.next().unwrap_or_default().to_owned();
         let task = match (&parts.method, route) {
             (&Method::PUT, "admin") => return Some(self.put_fault(body).await),
-            (&Method::POST, "claims" | "reports") => return self.file(&parts, body).await,
+            (&Method::POST, "claims" | "reports") => return self.submit_filing(&parts, body).await,
             (&Method::GET, "feed") => return Some(self.open_feed(&parts)),
             (&Method::GET, "status") => RunTask::Status {
                 id,
@@ -52,97 +57,99 @@
                 let bytes = download_bytes(&parts);
                 RunTask::Download { id, bytes }
             }
-            _ => return Some(empty_answer(StatusCode::NOT_FOUND)),
+            _ => return Some(empty_response(StatusCode::NOT_FOUND)),
         };
-        let marks = RequestMarks::new(&parts.headers);
-        self.start(marks, task, work_ms(&parts)).await
+        let metadata = RequestMetadata::new(&parts.headers);
+        self.start_run(metadata, task, work_ms(&parts)).await
     }
 
-    async fn file(&self, parts: &Parts, body: Incoming) -> Option<Response<AnswerBody>> {
+    async fn submit_filing(&self, parts: &Parts, body: Incoming) -> Option<Response<ResponseBody>> {
         let Some(body) = read_json::<FilingBody>(body).await else {
-            return Some(empty_answer(StatusCode::BAD_REQUEST));
+            return Some(empty_response(StatusCode::BAD_REQUEST));
         };
-        let mut marks = RequestMarks::new(&parts.headers);
-        marks.filing = Some(body.filing.clone());
+        let mut metadata = RequestMetadata::new(&parts.headers);
+        metadata.filing = Some(body.filing.clone());
         let work_ms = body.work_ms();
         let task = RunTask::Filing {
             filing: body.filing,
         };
-        self.start(marks, task, work_ms).await
+        self.start_run(metadata, task, work_ms).await
     }
 
-    async fn start(
+    async fn start_run(
         &self,
-        marks: RequestMarks,
+        metadata: RequestMetadata,
         task: RunTask,
         work_ms: u32,
-    ) -> Option<Response<AnswerBody>> {
-        match self.runs.start(&marks) {
-            Ok(guard) => self.worker.run(guard, marks, task, work_ms).await,
+    ) -> Option<Response<ResponseBody>> {
+        match self.runs.start(&metadata) {
+            Ok(guard) => self.worker.run(guard, metadata, task, work_ms).await,
             Err(_) => {
-                self.runs.note_shed(&marks);
-                Some(self.shed_answer(&marks))
+                self.runs.record_shed(&metadata);
+                Some(self.shed_response(&metadata))
             }
         }
     }
 
-    fn shed_answer(&self, marks: &RequestMarks) -> Response<AnswerBody> {
-        let mut answer = empty_answer(StatusCode::SERVICE_UNAVAILABLE);
-        let headers = answer.headers_mut();
+    fn shed_response(&self, metadata: &RequestMetadata) -> Response<ResponseBody> {
+        let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+        let headers = response.headers_mut();
         headers.insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
         headers.insert("lovagelatch-outcome", HeaderValue::from_static("not-run"));
-        mark_answer(&mut answer, marks, &self.worker.service);
-        answer
+        add_metadata_headers(&mut response, metadata, &self.worker.service);
+        response
     }
 
-    fn open_feed(&self, parts: &Parts) -> Response<AnswerBody> {
-        let mut marks = RequestMarks::new(&parts.headers);
-        marks.feed = true;
-        let Ok(guard) = self.runs.start(&marks) else {
-            return self.shed_answer(&marks);
+    fn open_feed(&self, parts: &Parts) -> Response<ResponseBody> {
+        let mut metadata = RequestMetadata::new(&parts.headers);
+        metadata.feed = true;
+        let Ok(guard) = self.runs.start(&metadata) else {
+            return self.shed_response(&metadata);
         };
         let (sender, receiver) = body_channel();
-        let feed = marks.request.clone().unwrap_or_default();
+        let feed = metadata.request.clone().unwrap_or_default();
         tokio::spawn(send_feed(sender, guard, feed, self.worker.target.clone()));
-        let mut answer = Response::new(streamed_body(receiver));
-        let kind = HeaderValue::from_static("text/event-stream");
-        answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-        mark_answer(&mut answer, &marks, &self.worker.service);
-        answer
+        let mut response = Response::new(streamed_body(receiver));
+        let content_type = HeaderValue::from_static("text/event-stream");
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
+        add_metadata_headers(&mut response, &metadata, &self.worker.service);
+        response
     }
 
-    async fn put_fault(&self, body: Incoming) -> Response<AnswerBody> {
+    async fn put_fault(&self, body: Incoming) -> Response<ResponseBody> {
         let Some(change) = read_json::<FaultChange>(body).await else {
-            return empty_answer(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         if self.worker.faults.apply(&change) {
             let time_ms = unix_millis();
             self.runs.write(&BackendRecord::Leaving { time_ms });
         }
-        json_answer(StatusCode::OK, &change)
+        json_response(StatusCode::OK, &change)
     }
 
-    fn answer_own(&self, route: &str) -> Option<Response<AnswerBody>> {
+    fn handle_reserved(&self, route: &str) -> Option<Response<ResponseBody>> {
         if let Some(attempt) = route.strip_prefix("cancel/") {
             return self.cancel(attempt);
         }
         let faults = &self.worker.faults;
         let value = match route {
             "health" => {
-                let (state, warming) = faults.shown_health();
-                json!({"state": state, "warming_ms": warming.as_millis() as u64})
+                let (state, remaining) = faults.reported_health();
+                json!({"state": state, "warming_ms": remaining.as_millis() as u64})
             }
             "load" => {
                 let slots = self.runs.slots();
-                let in_use = faults.shown_load(self.runs.in_use(), slots);
+                let in_use = faults.reported_load(self.runs.in_use(), slots);
                 json!({"in_use": in_use, "slots": slots})
             }
-            _ => return Some(empty_answer(StatusCode::NOT_FOUND)),
+            _ => return Some(empty_response(StatusCode::NOT_FOUND)),
         };
-        Some(json_answer(StatusCode::OK, &value))
+        Some(json_response(StatusCode::OK, &value))
     }
 
-    fn cancel(&self, attempt: &str) -> Option<Response<AnswerBody>> {
+    fn cancel(&self, attempt: &str) -> Option<Response<ResponseBody>> {
         let cancelled = self.runs.cancel(attempt);
         if self.worker.faults.loses_cancellations() {
             return None;
@@ -152,7 +159,7 @@
         } else {
             StatusCode::CONFLICT
         };
-        Some(json_answer(status, &json!({"cancelled": cancelled})))
+        Some(json_response(status, &json!({"cancelled": cancelled})))
     }
 }
 
--- a/standins/backend/src/runs.rs
+++ b/standins/backend/src/runs.rs
@@ -1,4 +1,4 @@
-//! Slots and attempts: what runs, what ran, and what never will.
+//! Tracks slots, runs, and started and cancelled attempts.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 use lovagelatch_history::{BackendRecord, HistoryWriter, unix_millis};
 use parking_lot::Mutex;
 
-use crate::request::RequestMarks;
+use crate::request::RequestMetadata;
 
 /// Why a request was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
     /// No slot is free.
     Full,
-    /// Its attempt was cancelled before it came.
+    /// The attempt was cancelled before its request arrived.
     Cancelled,
 }
 
 #[derive(Debug, Default)]
 struct RunState {
     in_use: u16,
-    next_run: u64,
-    seen: HashSet<String>,
-    cancelled: HashSet<String>,
+    last_run: u64,
+    started_attempts: HashSet<String>,
+    cancelled_attempts: HashSet<String>,
 }
 
-/// Counts slots and remembers attempts, and writes the server's history.
+/// Counts used slots, remembers attempts and writes the server's history.
 #[derive(Debug)]
 pub struct RunTable {
     slots: u16,
@@ -34,18 +34,18 @@
     history: HistoryWriter,
 }
 
-/// One run. The history says that it ended when this is dropped.
+/// One run. Dropping the guard frees its slot and records the end of the run.
 #[derive(Debug)]
 pub(crate) struct RunGuard {
     table: Arc<RunTable>,
-    /// Its number at this server.
+    /// Number of the run at this server, from 1.
     pub(crate) run: u64,
     started: Instant,
     feed: bool,
 }
 
 impl RunTable {
-    /// A table of `slots` slots that writes to `history`.
+    /// Returns a table of `slots` free slots that writes its records to `history`.
     #[must_use]
     pub fn new(slots: u16, history: HistoryWriter) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// How many slots there are.
+    /// Returns the number of slots.
     #[must_use]
     pub fn slots(&self) -> u16 {
         self.slots
@@ -67,7 +67,8 @@
         self.state.lock().in_use
     }
 
-    /// Writes a record. A history that cannot be written proves nothing, so the server ends.
+    /// Writes a record. An incomplete history cannot be checked, so a failed write ends the
+    /// process.
     pub(crate) fn write(&self, record: &BackendRecord) {
         if let Err(error) = self.history.append(record) {
             eprintln!("history not written: {error}");
@@ -75,55 +76,58 @@
         }
     }
 
-    pub(crate) fn start(self: &Arc<Self>, marks: &RequestMarks) -> Result<RunGuard, StartRefusal> {
+    pub(crate) fn start(
+        self: &Arc<Self>,
+        metadata: &RequestMetadata,
+    ) -> Result<RunGuard, StartRefusal> {
         let mut state = self.state.lock();
-        let attempt = marks.attempt.as_ref();
-        if attempt.is_some_and(|attempt| state.cancelled.contains(attempt)) {
+        let attempt = metadata.attempt.as_ref();
+        if attempt.is_some_and(|attempt| state.cancelled_attempts.contains(attempt)) {
             return Err(StartRefusal::Cancelled);
         }
-        if !marks.feed {
+        if !metadata.feed {
             if state.in_use >= self.slots {
                 return Err(StartRefusal::Full);
             }
             state.in_use += 1;
         }
         if let Some(attempt) = attempt {
-            state.seen.insert(attempt.clone());
+            state.started_attempts.insert(attempt.clone());
         }
-        state.next_run += 1;
-        let run = state.next_run;
+        state.last_run += 1;
+        let run = state.last_run;
         drop(state);
         self.write(&BackendRecord::Start {
             time_ms: unix_millis(),
             run,
-            attempt: marks.attempt.clone(),
-            request: marks.request.clone(),
-            filing: marks.filing.clone(),
-            feed: marks.feed,
+            attempt: metadata.attempt.clone(),
+            request: metadata.request.clone(),
+            filing: metadata.filing.clone(),
+            feed: metadata.feed,
         });
         Ok(RunGuard {
             table: Arc::clone(self),
             run,
             started: Instant::now(),
-            feed: marks.feed,
+            feed: metadata.feed,
         })
     }
 
-    pub(crate) fn note_shed(&self, marks: &RequestMarks) {
+    pub(crate) fn record_shed(&self, metadata: &RequestMetadata) {
         self.write(&BackendRecord::Shed {
             time_ms: unix_millis(),
-            attempt: marks.attempt.clone(),
-            request: marks.request.clone(),
+            attempt: metadata.attempt.clone(),
+            request: metadata.request.clone(),
         });
     }
 
-    /// Cancels an attempt that has not started; false when it has.
+    /// Cancels an attempt that has not started. Returns `false` if it has.
     pub(crate) fn cancel(&self, attempt: &str) -> bool {
         let mut state = self.state.lock();
-        if state.seen.contains(attempt) {
+        if state.started_attempts.contains(attempt) {
             return false;
         }
-        state.cancelled.insert(attempt.to_owned());
+        state.cancelled_attempts.insert(attempt.to_owned());
         drop(state);
         self.write(&BackendRecord::Cancelled {
             time_ms: unix_millis(),
--- a/standins/backend/src/server.rs
+++ b/standins/backend/src/server.rs
@@ -1,4 +1,4 @@
-//! Listening and serving connections.
+//! Accepts connections and serves them.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -14,47 +14,47 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::dependency::DependencyOptions;
-use crate::fault::FaultBoard;
+use crate::fault::FaultInjector;
 use crate::routes::RequestRouter;
 use crate::runs::RunTable;
 use crate::work::RequestWorker;
 
-/// How a backend server is set up.
+/// Options of a backend server.
 #[derive(Clone, Debug)]
 pub struct BackendOptions {
-    /// Where it listens; port 0 lets the operating system choose.
+    /// The address to listen on; port 0 lets the operating system choose.
     pub listen: SocketAddrV4,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
-    /// Its name in the history.
+    /// Name of the server in the history.
     pub target: String,
-    /// How many requests it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u16,
-    /// How long its cold start takes: what comes earlier waits that long.
-    pub cold: Duration,
-    /// Where its history goes.
+    /// Duration of its cold start. Requests that arrive earlier wait for its end.
+    pub cold_start: Duration,
+    /// File that the history is written to.
     pub history: PathBuf,
-    /// The service it depends on, if there is one.
+    /// The service that it depends on.
     pub dependency: Option<DependencyOptions>,
 }
 
-/// Why a backend server did not start, or ended.
+/// Why a backend server did not start, or stopped.
 #[derive(Debug, Error)]
 pub enum BackendError {
-    /// It could not listen, or no longer.
-    #[error("not listening: {0}")]
+    /// Binding the listener or accepting a connection failed.
+    #[error("listener failed: {0}")]
     Listen(#[from] io::Error),
-    /// Its history could not be created.
-    #[error("history not created: {0}")]
+    /// The history file could not be created.
+    #[error("cannot create the history: {0}")]
     History(#[from] HistoryError),
 }
 
-/// The request was swallowed on purpose: the connection closes without an answer.
+/// A fault suppressed the response. The connection closes without one.
 #[derive(Debug, Error)]
-#[error("no answer")]
-struct NoAnswer;
+#[error("response suppressed by a fault")]
+struct SuppressedResponse;
 
-/// A backend server that listens.
+/// A backend server with a bound listener.
 #[derive(Debug)]
 pub struct BackendServer {
     listener: TcpListener,
@@ -62,11 +62,11 @@
 }
 
 impl BackendServer {
-    /// Listens, and writes the first line of the history.
+    /// Binds the listener and writes the first line of the history.
     ///
     /// # Errors
     ///
-    /// A [`BackendError`] when it cannot listen or write.
+    /// Returns a [`BackendError`] if the history cannot be created or the address cannot be bound.
     pub async fn bind(options: BackendOptions) -> Result<Self, BackendError> {
         let history = HistoryWriter::create(&options.history)?;
         let listener = TcpListener::bind(options.listen).await?;
@@ -77,7 +77,7 @@
             service: options.service.clone(),
             slots: options.slots,
         });
-        let faults = Arc::new(FaultBoard::new(options.cold));
+        let faults = Arc::new(FaultInjector::new(options.cold_start));
         let worker = Arc::new(RequestWorker::new(
             options.service,
             options.target,
@@ -88,20 +88,20 @@
         Ok(Self { listener, router })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     ///
     /// # Errors
     ///
-    /// What the operating system said.
+    /// Returns the error of the operating system.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves until the listener breaks.
+    /// Serves connections until the listener fails.
     ///
     /// # Errors
     ///
-    /// What the operating system said.
+    /// Returns the error of the listener.
     pub async fn serve(self) -> Result<(), BackendError> {
         loop {
             let (stream, _) = self.listener.accept().await?;
@@ -115,9 +115,9 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let router = Arc::clone(&router);
-        async move { router.answer(request).await.ok_or(NoAnswer) }
+        async move { router.handle(request).await.ok_or(SuppressedResponse) }
     });
-    // Broken connections are the agent's business; the run goes on in its own task.
+    // The agent handles connection errors. A run continues in its own task.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service)
--- a/standins/backend/src/work.rs
+++ b/standins/backend/src/work.rs
@@ -1,4 +1,4 @@
-//! The work itself: each run is a task of its own, which goes on when its caller leaves.
+//! Executes runs. Each run is a task that continues after its caller has disconnected.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,28 +10,30 @@
 use serde_json::json;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::answer::{AnswerBody, BodyPart, json_answer, mark_answer, streamed_body};
 use crate::dependency::{self, DependencyOptions};
-use crate::fault::{AnswerFault, FaultBoard};
-use crate::request::RequestMarks;
+use crate::fault::{FaultInjector, ResponseFault};
+use crate::request::RequestMetadata;
+use crate::response::{
+    BodyChunk, ResponseBody, add_metadata_headers, json_response, streamed_body,
+};
 use crate::runs::RunGuard;
 
-/// How long a late answer is held back.
-const LATE_ANSWER: Duration = Duration::from_secs(12);
+/// How long a response with [`ResponseFault::Delayed`] is delayed.
+const RESPONSE_DELAY: Duration = Duration::from_secs(12);
 
-/// The time between the first half of a cut answer and its break.
-const CUT_PAUSE: Duration = Duration::from_millis(20);
+/// Time between the first half of a truncated body and the abort of its connection.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 
-/// Parts of a download's body.
-const DOWNLOAD_PARTS: usize = 8;
+/// Number of chunks of a download.
+const DOWNLOAD_CHUNKS: usize = 8;
 
-/// The time between two events of a feed.
-const FEED_PERIOD: Duration = Duration::from_millis(200);
+/// Interval of the events of a feed.
+const FEED_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Parts of a body that may wait for the connection.
-const BODY_QUEUE: usize = 16;
+/// Chunks of a body that are buffered for the connection.
+const BODY_QUEUE_CHUNKS: usize = 16;
 
-/// What a run is for.
+/// The work of a run.
 #[derive(Clone, Debug)]
 pub(crate) enum RunTask {
     Filing { filing: String },
@@ -39,29 +41,30 @@
     Download { id: String, bytes: usize },
 }
 
-/// A run's marks and task, which a crossed answer takes from the run before it.
+/// What a response says about its run. A crossed response uses the identity of the previous run.
 #[derive(Clone, Debug)]
-struct AnswerIdentity {
-    marks: RequestMarks,
+struct ResponseIdentity {
+    metadata: RequestMetadata,
     task: RunTask,
     run: u64,
 }
 
-/// Runs requests.
+/// Executes the runs of a server.
 #[derive(Debug)]
 pub(crate) struct RequestWorker {
     pub(crate) service: String,
     pub(crate) target: String,
-    pub(crate) faults: Arc<FaultBoard>,
+    pub(crate) faults: Arc<FaultInjector>,
     dependency: Option<DependencyOptions>,
-    last: Mutex<Option<AnswerIdentity>>,
+    /// The identity of the latest run, for crossed responses.
+    previous: Mutex<Option<ResponseIdentity>>,
 }
 
 impl RequestWorker {
     pub(crate) fn new(
         service: String,
         target: String,
-        faults: Arc<FaultBoard>,
+        faults: Arc<FaultInjector>,
         dependency: Option<DependencyOptions>,
     ) -> Self {
         Self {
@@ -69,45 +72,45 @@
             target,
             faults,
             dependency,
-            last: Mutex::default(),
+            previous: Mutex::default(),
         }
     }
 
-    /// Runs a request; the answer's head comes when it is due. `None` when the run's task was
-    /// ended with the server.
+    /// Runs a request and returns its response as soon as the headers are due. Returns `None` if
+    /// the task of the run ended without a response, as when the server stops.
     pub(crate) async fn run(
         self: &Arc<Self>,
         guard: RunGuard,
-        marks: RequestMarks,
+        metadata: RequestMetadata,
         task: RunTask,
         work_ms: u32,
-    ) -> Option<Response<AnswerBody>> {
+    ) -> Option<Response<ResponseBody>> {
         let (sender, receiver) = oneshot::channel();
         let worker = Arc::clone(self);
         let work = Duration::from_millis(u64::from(work_ms));
-        tokio::spawn(async move { worker.work(guard, marks, task, work, sender).await });
+        tokio::spawn(async move { worker.work(guard, metadata, task, work, sender).await });
         receiver.await.ok()
     }
 
     async fn work(
         &self,
         guard: RunGuard,
-        marks: RequestMarks,
+        metadata: RequestMetadata,
         task: RunTask,
         work: Duration,
-        sender: oneshot::Sender<Response<AnswerBody>>,
+        sender: oneshot::Sender<Response<ResponseBody>>,
     ) {
-        let fault = self.faults.draw_answer_fault();
-        tokio::time::sleep(self.faults.warming()).await;
-        let own = AnswerIdentity {
-            marks,
+        let fault = self.faults.draw_response_fault();
+        tokio::time::sleep(self.faults.warmup_remaining()).await;
+        let current = ResponseIdentity {
+            metadata,
             task,
             run: guard.run,
         };
-        let previous = self.last.lock().replace(own.clone());
+        let previous = self.previous.lock().replace(current.clone());
         let identity = match (fault, previous) {
-            (AnswerFault::Crossed, Some(previous)) => previous,
-            _ => own,
+            (ResponseFault::Crossed, Some(previous)) => previous,
+            _ => current,
         };
         if let RunTask::Download { id, bytes } = &identity.task {
             self.download(guard, &identity, id, *bytes, work, fault, sender)
@@ -119,24 +122,29 @@
         }
         tokio::time::sleep(work).await;
         drop(guard);
-        if fault == AnswerFault::Late {
-            tokio::time::sleep(LATE_ANSWER).await;
+        if fault == ResponseFault::Delayed {
+            tokio::time::sleep(RESPONSE_DELAY).await;
         }
-        let answer = self.small_answer(&identity, fault);
-        // A caller that has left takes no answer; the run stands in the history all the same.
-        let _ = sender.send(answer);
+        let response = self.buffered_response(&identity, fault);
+        // Sending fails if the caller has disconnected. The history records the run anyway.
+        let _ = sender.send(response);
     }
 
-    /// The answer goes out either way; the history says how the call ended.
-    async fn call_dependency(&self, guard: &RunGuard, identity: &AnswerIdentity, id: &str) {
+    /// Calls the dependency and records the result in the history. The response of the run does
+    /// not depend on it.
+    async fn call_dependency(&self, guard: &RunGuard, identity: &ResponseIdentity, id: &str) {
         if let Some(options) = &self.dependency {
-            let attempts_left = identity.marks.attempts_left.as_deref();
+            let attempts_left = identity.metadata.attempts_left.as_deref();
             let record = dependency::call(options, guard.run, id, attempts_left).await;
             guard.table().write(&record);
         }
     }
 
-    fn small_answer(&self, identity: &AnswerIdentity, fault: AnswerFault) -> Response<AnswerBody> {
+    fn buffered_response(
+        &self,
+        identity: &ResponseIdentity,
+        fault: ResponseFault,
+    ) -> Response<ResponseBody> {
         let (status, value) = match &identity.task {
             RunTask::Filing { filing } => (
                 StatusCode::CREATED,
@@ -147,52 +155,52 @@
                 json!({"id": id, "service": self.service, "target": self.target}),
             ),
         };
-        let mut answer = json_answer(status, &value);
-        if fault == AnswerFault::Cut {
-            *answer.body_mut() = cut_body(&value.to_string());
+        let mut response = json_response(status, &value);
+        if fault == ResponseFault::Truncated {
+            *response.body_mut() = truncated_body(&value.to_string());
         }
-        mark_answer(&mut answer, &identity.marks, &self.service);
-        answer
+        add_metadata_headers(&mut response, &identity.metadata, &self.service);
+        response
     }
 
-    /// The head comes after half of the work; the body comes in parts over the other half.
+    /// Sends the headers after half of the work and the body in chunks over the other half.
     #[allow(clippy::too_many_arguments)]
     async fn download(
         &self,
         guard: RunGuard,
-        identity: &AnswerIdentity,
+        identity: &ResponseIdentity,
         id: &str,
         bytes: usize,
         work: Duration,
-        fault: AnswerFault,
-        sender: oneshot::Sender<Response<AnswerBody>>,
+        fault: ResponseFault,
+        sender: oneshot::Sender<Response<ResponseBody>>,
     ) {
         tokio::time::sleep(work / 2).await;
-        if fault == AnswerFault::Late {
-            tokio::time::sleep(LATE_ANSWER).await;
+        if fault == ResponseFault::Delayed {
+            tokio::time::sleep(RESPONSE_DELAY).await;
         }
-        let (parts, receiver) = mpsc::channel(BODY_QUEUE);
-        let mut answer = Response::new(streamed_body(receiver));
-        let headers = answer.headers_mut();
+        let (chunks, receiver) = mpsc::channel(BODY_QUEUE_CHUNKS);
+        let mut response = Response::new(streamed_body(receiver));
+        let headers = response.headers_mut();
         headers.insert(header::CONTENT_LENGTH, bytes.into());
-        mark_answer(&mut answer, &identity.marks, &self.service);
-        if sender.send(answer).is_ok() {
-            send_parts(&parts, content_for(id, bytes), work / 2, fault).await;
+        add_metadata_headers(&mut response, &identity.metadata, &self.service);
+        if sender.send(response).is_ok() {
+            send_chunks(&chunks, content_for(id, bytes), work / 2, fault).await;
         }
         drop(guard);
     }
 }
 
-/// A body that breaks off in the middle, some time after its first half was sent.
-fn cut_body(text: &str) -> AnswerBody {
+/// Returns a body that aborts [`TRUNCATION_DELAY`] after its first half was sent.
+fn truncated_body(text: &str) -> ResponseBody {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
-    let (parts, receiver) = mpsc::channel(BODY_QUEUE);
+    let (chunks, receiver) = mpsc::channel(BODY_QUEUE_CHUNKS);
     tokio::spawn(async move {
-        // Without the pause the library would drop the connection before the head is sent.
-        let sent = parts.send(Ok(half)).await;
-        tokio::time::sleep(CUT_PAUSE).await;
+        // Without the delay, hyper closes the connection before it sends the headers.
+        let sent = chunks.send(Ok(half)).await;
+        tokio::time::sleep(TRUNCATION_DELAY).await;
         if sent.is_ok() {
-            let _ = parts
+            let _ = chunks
                 .send(Err(std::io::ErrorKind::ConnectionReset.into()))
                 .await;
         }
@@ -200,52 +208,53 @@
     streamed_body(receiver)
 }
 
-async fn send_parts(
-    parts: &mpsc::Sender<BodyPart>,
+async fn send_chunks(
+    chunks: &mpsc::Sender<BodyChunk>,
     content: Vec<u8>,
-    time: Duration,
-    fault: AnswerFault,
+    duration: Duration,
+    fault: ResponseFault,
 ) {
     let content = Bytes::from(content);
-    let size = content.len().div_ceil(DOWNLOAD_PARTS).max(1);
-    let pause = time / u32::try_from(DOWNLOAD_PARTS).unwrap_or(1);
+    let size = content.len().div_ceil(DOWNLOAD_CHUNKS).max(1);
+    let delay = duration / u32::try_from(DOWNLOAD_CHUNKS).unwrap_or(1);
     let mut start = 0;
     while start < content.len() {
-        tokio::time::sleep(pause).await;
-        if fault == AnswerFault::Cut && start >= content.len() / 2 {
-            let _ = parts
+        tokio::time::sleep(delay).await;
+        if fault == ResponseFault::Truncated && start >= content.len() / 2 {
+            let _ = chunks
                 .send(Err(std::io::ErrorKind::ConnectionReset.into()))
                 .await;
             return;
         }
         let end = (start + size).min(content.len());
-        if parts.send(Ok(content.slice(start..end))).await.is_err() {
+        if chunks.send(Ok(content.slice(start..end))).await.is_err() {
             return;
         }
         start = end;
     }
 }
 
-/// Sends events until the caller leaves. Each names its feed, so that a crossed one shows.
+/// Sends events until the caller disconnects. Each event names its feed, so that callers can
+/// detect events of another feed.
 pub(crate) async fn send_feed(
-    parts: mpsc::Sender<BodyPart>,
+    chunks: mpsc::Sender<BodyChunk>,
     guard: RunGuard,
     feed: String,
     target: String,
 ) {
-    let mut period = tokio::time::interval(FEED_PERIOD);
+    let mut interval = tokio::time::interval(FEED_INTERVAL);
     for id in 1_u64.. {
-        period.tick().await;
+        interval.tick().await;
         let data = json!({"feed": feed, "target": target});
         let event = Bytes::from(format!("id: {id}\ndata: {data}\n\n"));
-        if parts.send(Ok(event)).await.is_err() {
+        if chunks.send(Ok(event)).await.is_err() {
             break;
         }
     }
     drop(guard);
 }
 
-/// A channel for a body.
-pub(crate) fn body_channel() -> (mpsc::Sender<BodyPart>, mpsc::Receiver<BodyPart>) {
-    mpsc::channel(BODY_QUEUE)
+/// Returns a channel for the chunks of a streamed body.
+pub(crate) fn body_channel() -> (mpsc::Sender<BodyChunk>, mpsc::Receiver<BodyChunk>) {
+    mpsc::channel(BODY_QUEUE_CHUNKS)
 }
--- a/standins/backend/tests/all/faults.rs
+++ b/standins/backend/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a test switches on.
+//! Tests of injected faults.
 
 use std::time::Duration;
 
@@ -7,41 +7,42 @@
 
 use crate::running::RunningServer;
 
-/// Requests sent until a fault that strikes one answer in twenty must have struck.
-const TRIES: usize = 400;
+/// Number of requests after which faults of one response in twenty must have occurred.
+const MAX_REQUESTS: usize = 400;
 
 #[tokio::test]
-async fn crosses_and_cuts_some_answers_when_told_to() {
+async fn crosses_and_truncates_some_responses() {
     let server = RunningServer::start("faults", 3, Duration::ZERO).await;
     let change = r#"{"crossed_answers":true}"#;
-    let told = server.send("PUT", "/admin/fault", &[], change).await;
-    assert_eq!(told.expect("an answer").status, StatusCode::OK);
+    let changed = server.send("PUT", "/admin/fault", &[], change).await;
+    assert_eq!(changed.expect("a response").status, StatusCode::OK);
     let (mut crossed, mut cut) = (false, false);
-    for number in 0..TRIES {
+    for number in 0..MAX_REQUESTS {
         let attempt = number.to_string();
         let path = format!("/status/{attempt}?work_ms=1");
-        let sent = server.get(&path, &attempt);
-        // A late answer counts as neither.
-        let Ok(Some(answer)) = tokio::time::timeout(Duration::from_millis(200), sent).await else {
+        let response = server.get(&path, &attempt);
+        // Skips delayed responses.
+        let Ok(Some(response)) = tokio::time::timeout(Duration::from_millis(200), response).await
+        else {
             continue;
         };
-        crossed |= answer.headers["lovagelatch-attempt"] != attempt.as_str();
-        cut |= answer.body.is_none();
+        crossed |= response.headers["lovagelatch-attempt"] != attempt.as_str();
+        cut |= response.body.is_none();
         if crossed && cut {
             return;
         }
     }
-    panic!("crossed {crossed}, cut {cut} after {TRIES} requests");
+    panic!("crossed {crossed}, cut {cut} after {MAX_REQUESTS} requests");
 }
 
 #[tokio::test]
-async fn takes_a_cancellation_and_loses_its_answer() {
+async fn applies_a_cancellation_without_a_response() {
     let server = RunningServer::start("lost", 3, Duration::ZERO).await;
     let change = r#"{"lose_cancellations":true}"#;
     server
         .send("PUT", "/admin/fault", &[], change)
         .await
-        .expect("an answer");
+        .expect("a response");
     let path = "/.well-known/lovagelatch/cancel/a";
     assert!(server.send("POST", path, &[], "").await.is_none());
     let cancelled = |record: &BackendRecord| matches!(record, BackendRecord::Cancelled { attempt, .. } if attempt == "a");
@@ -49,17 +50,17 @@
 }
 
 #[tokio::test]
-async fn writes_when_it_begins_to_leave() {
+async fn records_the_start_of_a_drain_once() {
     let server = RunningServer::start("leaving", 3, Duration::ZERO).await;
     let change = r#"{"state":"draining"}"#;
     server
         .send("PUT", "/admin/fault", &[], change)
         .await
-        .expect("an answer");
+        .expect("a response");
     server
         .send("PUT", "/admin/fault", &[], change)
         .await
-        .expect("an answer");
+        .expect("a response");
     let leaving = |record: &&BackendRecord| matches!(record, BackendRecord::Leaving { .. });
     assert_eq!(server.records().iter().filter(leaving).count(), 1);
 }
--- a/standins/backend/tests/all/main.rs
+++ b/standins/backend/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the backend server stand-in, over its own HTTP face.
+//! Tests of the backend server stand-in over its HTTP interface.
 
 mod faults;
 mod running;
--- a/standins/backend/tests/all/running.rs
+++ b/standins/backend/tests/all/running.rs
@@ -1,4 +1,4 @@
-//! A running server and a small client.
+//! A running server with a minimal HTTP client.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,32 +11,32 @@
 use lovagelatch_history::{BackendRecord, read_history};
 use tokio::net::TcpStream;
 
-/// A server that runs until the test ends.
+/// A server that runs until the end of the test.
 pub(crate) struct RunningServer {
     address: std::net::SocketAddr,
     history: PathBuf,
 }
 
-/// An answer.
+/// A response as the client received it.
 #[derive(Debug)]
-pub(crate) struct SeenAnswer {
+pub(crate) struct ReceivedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// `None` when the body broke off.
+    /// `None` if the body was truncated.
     pub(crate) body: Option<Bytes>,
 }
 
 impl RunningServer {
-    pub(crate) async fn start(name: &str, slots: u16, cold: Duration) -> Self {
-        let number = std::process::id();
-        let file = format!("lovagelatch-backend-{number}-{name}.jsonl");
+    pub(crate) async fn start(name: &str, slots: u16, cold_start: Duration) -> Self {
+        let process = std::process::id();
+        let file = format!("lovagelatch-backend-{process}-{name}.jsonl");
         let history = std::env::temp_dir().join(file);
         let server = BackendServer::bind(BackendOptions {
             listen: "127.0.0.1:0".parse().expect("an address"),
             service: "claims".to_owned(),
             target: "claims-1".to_owned(),
             slots,
-            cold,
+            cold_start,
             history: history.clone(),
             dependency: None,
         })
@@ -47,14 +47,14 @@
         Self { address, history }
     }
 
-    /// Sends a request; `None` when the connection closed without an answer.
+    /// Sends a request. Returns `None` if the connection closed without a response.
     pub(crate) async fn send(
         &self,
         method: &str,
         path: &str,
-        marks: &[(&str, &str)],
+        headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<SeenAnswer> {
+    ) -> Option<ReceivedResponse> {
         let stream = TcpStream::connect(self.address).await.ok()?;
         let io = TokioIo::new(stream);
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
@@ -63,27 +63,27 @@
             .method(method)
             .uri(path)
             .header("host", "claims");
-        for (name, value) in marks {
+        for (name, value) in headers {
             request = request.header(*name, *value);
         }
         let request = request.body(Full::new(Bytes::copy_from_slice(body.as_bytes())));
-        let answer = sender.send_request(request.ok()?).await.ok()?;
-        let (head, body) = answer.into_parts();
+        let response = sender.send_request(request.ok()?).await.ok()?;
+        let (head, body) = response.into_parts();
         let body = body
             .collect()
             .await
             .ok()
             .map(http_body_util::Collected::to_bytes);
-        Some(SeenAnswer {
+        Some(ReceivedResponse {
             status: head.status,
             headers: head.headers,
             body,
         })
     }
 
-    pub(crate) async fn get(&self, path: &str, attempt: &str) -> Option<SeenAnswer> {
-        let marks = [("lovagelatch-attempt", attempt)];
-        self.send("GET", path, &marks, "").await
+    pub(crate) async fn get(&self, path: &str, attempt: &str) -> Option<ReceivedResponse> {
+        let headers = [("lovagelatch-attempt", attempt)];
+        self.send("GET", path, &headers, "").await
     }
 
     pub(crate) fn records(&self) -> Vec<BackendRecord> {
--- a/standins/backend/tests/all/slots.rs
+++ b/standins/backend/tests/all/slots.rs
@@ -1,15 +1,15 @@
-//! Slots, shedding, cancellation and answers.
+//! Tests of slots, load shedding, cancellation, responses and health reports.
 
 use std::time::Duration;
 
 use http::StatusCode;
-use lovagelatch_backend::{FaultBoard, FaultChange, HealthState};
+use lovagelatch_backend::{FaultChange, FaultInjector, HealthState};
 use lovagelatch_history::{BackendRecord, content_for};
 
 use crate::running::RunningServer;
 
 #[tokio::test]
-async fn sheds_what_has_no_slot_and_says_that_it_did_not_run() {
+async fn sheds_a_request_without_a_free_slot_as_not_run() {
     let server = RunningServer::start("shed", 1, Duration::ZERO).await;
     let long = server.get("/status/a?work_ms=400", "a");
     let refused = async {
@@ -17,11 +17,11 @@
         server.get("/status/b", "b").await
     };
     let (long, refused) = tokio::join!(long, refused);
-    let refused = refused.expect("an answer");
+    let refused = refused.expect("a response");
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused.headers["lovagelatch-outcome"], "not-run");
     assert_eq!(refused.headers["lovagelatch-attempt"], "b");
-    assert_eq!(long.expect("an answer").status, StatusCode::OK);
+    assert_eq!(long.expect("a response").status, StatusCode::OK);
     let ran = |name: &str| {
         let records = server.records();
         records.iter().any(|record| {
@@ -42,15 +42,15 @@
             server
                 .send("POST", &path, &[], "")
                 .await
-                .expect("an answer")
+                .expect("a response")
                 .status
         }
     };
     assert_eq!(cancel("early").await, StatusCode::OK);
-    let late = server.get("/status/x", "early").await.expect("an answer");
+    let late = server.get("/status/x", "early").await.expect("a response");
     assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
     let ran = server.get("/status/x?work_ms=1", "ran").await;
-    assert_eq!(ran.expect("an answer").status, StatusCode::OK);
+    assert_eq!(ran.expect("a response").status, StatusCode::OK);
     assert_eq!(cancel("ran").await, StatusCode::CONFLICT);
 }
 
@@ -58,7 +58,7 @@
 async fn serves_downloads_and_filings() {
     let server = RunningServer::start("routes", 3, Duration::ZERO).await;
     let path = "/certificates/c7?bytes=5000&work_ms=8";
-    let download = server.get(path, "a").await.expect("an answer");
+    let download = server.get(path, "a").await.expect("a response");
     assert_eq!(download.headers["content-length"], "5000");
     assert_eq!(
         download.body.as_deref(),
@@ -66,57 +66,62 @@
     );
     let body = r#"{"filing":"f1","work_ms":1}"#;
     let filing = server.send("POST", "/claims", &[], body).await;
-    let filing = filing.expect("an answer");
+    let filing = filing.expect("a response");
     assert_eq!(filing.status, StatusCode::CREATED);
     assert_eq!(
         filing.body.as_deref(),
         Some(br#"{"filing":"f1","run":2}"#.as_slice())
     );
     let bad = server.send("POST", "/claims", &[], "nothing").await;
-    assert_eq!(bad.expect("an answer").status, StatusCode::BAD_REQUEST);
+    assert_eq!(bad.expect("a response").status, StatusCode::BAD_REQUEST);
 }
 
 struct HealthCase {
-    cold: Duration,
+    cold_start: Duration,
     change: FaultChange,
-    shown: HealthState,
+    reported: HealthState,
 }
 
 #[test]
-fn health_lags_on_demand() {
+fn reported_health_lags_as_configured() {
     let draining = FaultChange {
         state: Some(HealthState::Draining),
         ..FaultChange::default()
     };
     let cases = [
         HealthCase {
-            cold: Duration::ZERO,
+            cold_start: Duration::ZERO,
             change: FaultChange::default(),
-            shown: HealthState::Ready,
+            reported: HealthState::Ready,
         },
         HealthCase {
-            cold: Duration::from_secs(60),
+            cold_start: Duration::from_secs(60),
             change: FaultChange::default(),
-            shown: HealthState::Warming,
+            reported: HealthState::Warming,
         },
         HealthCase {
-            cold: Duration::ZERO,
+            cold_start: Duration::ZERO,
             change: draining,
-            shown: HealthState::Draining,
+            reported: HealthState::Draining,
         },
         HealthCase {
-            cold: Duration::ZERO,
+            cold_start: Duration::ZERO,
             change: FaultChange {
                 health_lag_ms: Some(60_000),
                 ..draining
             },
-            shown: HealthState::Ready,
+            reported: HealthState::Ready,
         },
     ];
     for case in cases {
-        let board = FaultBoard::new(case.cold);
-        let begins = board.apply(&case.change);
-        assert_eq!(begins, case.change.state.is_some());
-        assert_eq!(board.shown_health().0, case.shown, "{:?}", case.change);
+        let injector = FaultInjector::new(case.cold_start);
+        let starts_drain = injector.apply(&case.change);
+        assert_eq!(starts_drain, case.change.state.is_some());
+        assert_eq!(
+            injector.reported_health().0,
+            case.reported,
+            "{:?}",
+            case.change
+        );
     }
 }
--- a/standins/platform/src/main.rs
+++ b/standins/platform/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the platform stand-in.
+//! `lovagelatch-platform`: runs the platform stand-in.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
--- a/standins/platform/src/server.rs
+++ b/standins/platform/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of the platform.
+//! The HTTP interface of the platform.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -13,22 +13,23 @@
 
 use crate::state::{CallCounts, FaultSettings, PlatformState, PublishedConfig, PublishedRevision};
 
-/// How long a watch waits.
-const WATCH_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a watch, after which it returns 204.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The largest value that can be published, in megabytes, with room for an oversized text.
+/// Size limit of a published value. It is above the system's own limit of a configuration text,
+/// so that tests can publish texts that are too large.
 const PUBLISH_LIMIT_MEGABYTES: u32 = 8;
 
-/// Where the platform listens.
+/// Options of the platform stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformOptions {
-    /// Its address; port 0 lets the operating system choose.
+    /// The address to listen on; port 0 lets the operating system choose.
     pub listen: SocketAddrV4,
 }
 
 type SharedState = State<Arc<PlatformState>>;
 
-/// Builds the server; it prints its ready line when it listens.
+/// Builds the server, which prints its ready line once it listens.
 pub fn new_server(options: &PlatformOptions, state: Arc<PlatformState>) -> Rocket<Build> {
     let limit = PUBLISH_LIMIT_MEGABYTES.megabytes();
     let limits = Limits::default()
@@ -59,9 +60,9 @@
 
 #[get("/config")]
 fn read_config(state: &SharedState) -> Result<Json<PublishedConfig>, Status> {
-    state.count_config();
-    let shown = state.shown_config();
-    shown.map(Json).ok_or(Status::ServiceUnavailable)
+    state.count_config_read();
+    let config = state.visible_config();
+    config.map(Json).ok_or(Status::ServiceUnavailable)
 }
 
 #[get("/config/watch?<after>")]
@@ -70,14 +71,16 @@
     if state.is_down() {
         return Err(Status::ServiceUnavailable);
     }
-    let found = state.watch_config(ConfigRevision(after), WATCH_LIMIT).await;
-    found.map(Json).ok_or(Status::NoContent)
+    let config = state
+        .watch_config(ConfigRevision(after), WATCH_TIMEOUT)
+        .await;
+    config.map(Json).ok_or(Status::NoContent)
 }
 
 #[get("/instances")]
 fn read_instances(state: &SharedState) -> Json<InstanceList> {
-    state.count_instances();
-    Json(state.shown_instances())
+    state.count_instance_read();
+    Json(state.visible_instances())
 }
 
 #[put("/config", data = "<text>")]
--- a/standins/platform/src/state.rs
+++ b/standins/platform/src/state.rs
@@ -1,4 +1,4 @@
-//! What the platform holds, and what it shows while a fault is on.
+//! Published configurations and instance lists, and what readers see of them under a fault.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -8,46 +8,46 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// A configuration as readers get it.
+/// A published configuration, as readers receive it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedConfig {
-    /// Its number.
+    /// Revision of the configuration, from 1.
     pub revision: ConfigRevision,
-    /// The text.
+    /// The text as published.
     pub text: String,
 }
 
-/// The answer to a publication.
+/// The response to a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedRevision {
-    /// The number it got.
+    /// Revision that the published value got.
     pub revision: u64,
 }
 
-/// What is wrong with the configuration service.
+/// A fault of the configuration service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     Ok,
-    /// It answers 503.
+    /// Reads and watches of the configuration return 503.
     Down,
-    /// It shows the revision before the newest, and no watch ever ends early.
+    /// Reads and watches see the revision before the newest, or the only one.
     Stale,
 }
 
-/// The faults that are on.
+/// The injected faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FaultSettings {
-    /// Of the configuration service.
+    /// Fault of the configuration service.
     pub config: ConfigFault,
-    /// How far the instance list lags, in milliseconds.
+    /// Age at which a published instance list becomes visible, in milliseconds.
     pub list_lag_ms: u64,
 }
 
-/// How many calls were answered.
+/// Numbers of calls since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Reads of the configuration.
@@ -73,14 +73,14 @@
 
 #[derive(Debug, Default)]
 struct PublishedState {
-    /// Invariant: revisions rise by one.
+    /// Invariant: revisions increase by one.
     configs: Vec<PublishedConfig>,
     /// Invariant: in order of publication.
     lists: Vec<ListVersion>,
     fault: FaultSettings,
 }
 
-/// The platform's state. Every method takes `&self`; one lock guards it all.
+/// The state of the platform. One lock guards all published values and the faults.
 #[derive(Debug)]
 pub struct PlatformState {
     published: Mutex<PublishedState>,
@@ -99,7 +99,7 @@
 }
 
 impl PlatformState {
-    /// Publishes a text under the next number.
+    /// Publishes a configuration under the next revision.
     pub fn publish_config(&self, text: String) -> ConfigRevision {
         let mut published = self.published.lock();
         let revision = published
@@ -112,7 +112,7 @@
         revision
     }
 
-    /// Publishes an instance list under the next number.
+    /// Publishes an instance list under the next revision.
     pub fn publish_instances(&self, mut list: InstanceList) -> ListRevision {
         let mut published = self.published.lock();
         let revision = published
@@ -127,15 +127,16 @@
         ListRevision(revision)
     }
 
-    /// Sets the faults that are on from now.
+    /// Replaces the injected faults.
     pub fn set_fault(&self, fault: FaultSettings) {
         self.published.lock().fault = fault;
-        // Wakes the waiting watches so that they see the fault, or its end.
+        // Wakes the pending watches so that they apply the change.
         self.newest.send_modify(|_| ());
     }
 
-    /// The configuration as it is shown now; `None` while the service is down or empty.
-    pub fn shown_config(&self) -> Option<PublishedConfig> {
+    /// Returns the configuration that readers see, or `None` while the service is down or none is
+    /// published.
+    pub fn visible_config(&self) -> Option<PublishedConfig> {
         let published = self.published.lock();
         let configs = &published.configs;
         match published.fault.config {
@@ -145,44 +146,46 @@
         }
     }
 
-    /// The instance list as it is shown now: the newest that is older than the lag.
-    pub fn shown_instances(&self) -> InstanceList {
+    /// Returns the instance list that readers see: the newest that is at least as old as the lag,
+    /// or the first.
+    pub fn visible_instances(&self) -> InstanceList {
         let published = self.published.lock();
         let lag = Duration::from_millis(published.fault.list_lag_ms);
         let old_enough = |version: &&ListVersion| version.published.elapsed() >= lag;
         let lists = &published.lists;
-        let shown = lists.iter().rev().find(old_enough).or(lists.first());
-        shown
+        let visible = lists.iter().rev().find(old_enough).or(lists.first());
+        visible
             .map(|version| version.list.clone())
             .unwrap_or_default()
     }
 
-    /// Waits until a configuration after `revision` is shown, `limit` at most.
+    /// Waits until readers see a configuration newer than `revision`. Returns `None` after
+    /// `timeout`.
     pub async fn watch_config(
         &self,
         revision: ConfigRevision,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<PublishedConfig> {
         let mut newest = self.newest.subscribe();
         let found = async {
             loop {
                 newest.borrow_and_update();
-                let shown = self.shown_config();
-                if let Some(config) = shown.filter(|config| config.revision > revision) {
+                let visible = self.visible_config();
+                if let Some(config) = visible.filter(|config| config.revision > revision) {
                     return Some(config);
                 }
                 newest.changed().await.ok()?;
             }
         };
-        tokio::time::timeout(limit, found).await.ok().flatten()
+        tokio::time::timeout(timeout, found).await.ok().flatten()
     }
 
-    /// Whether the configuration service is down.
+    /// Whether [`ConfigFault::Down`] is injected.
     pub fn is_down(&self) -> bool {
         self.published.lock().fault.config == ConfigFault::Down
     }
 
-    pub(crate) fn count_config(&self) {
+    pub(crate) fn count_config_read(&self) {
         self.calls.config.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -190,11 +193,11 @@
         self.calls.watch.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_instances(&self) {
+    pub(crate) fn count_instance_read(&self) {
         self.calls.instances.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many calls were answered so far.
+    /// Returns the numbers of calls since the start.
     pub fn calls(&self) -> CallCounts {
         CallCounts {
             config: self.calls.config.load(Ordering::Relaxed),
--- a/standins/platform/tests/all/state.rs
+++ b/standins/platform/tests/all/state.rs
@@ -1,29 +1,29 @@
-//! What readers are shown while faults are on.
+//! Tests of what readers see under faults.
 
 use std::time::Duration;
 
 use lovagelatch_domain::{ConfigRevision, InstanceList};
 use lovagelatch_platform::{ConfigFault, FaultSettings, PlatformState};
 
-struct ShownCase {
+struct VisibleCase {
     fault: ConfigFault,
-    shown: Option<u64>,
+    visible: Option<u64>,
 }
 
 #[test]
-fn shows_what_the_fault_allows() {
+fn config_fault_selects_the_visible_revision() {
     let cases = [
-        ShownCase {
+        VisibleCase {
             fault: ConfigFault::Ok,
-            shown: Some(3),
+            visible: Some(3),
         },
-        ShownCase {
+        VisibleCase {
             fault: ConfigFault::Stale,
-            shown: Some(2),
+            visible: Some(2),
         },
-        ShownCase {
+        VisibleCase {
             fault: ConfigFault::Down,
-            shown: None,
+            visible: None,
         },
     ];
     for case in cases {
@@ -35,26 +35,26 @@
             config: case.fault,
             list_lag_ms: 0,
         });
-        let shown = state.shown_config().map(|config| config.revision.0);
-        assert_eq!(shown, case.shown, "{:?}", case.fault);
+        let visible = state.visible_config().map(|config| config.revision.0);
+        assert_eq!(visible, case.visible, "{:?}", case.fault);
     }
 }
 
 #[test]
-fn lists_lag() {
+fn instance_lists_lag() {
     let state = PlatformState::default();
     state.publish_instances(InstanceList::default());
     state.publish_instances(InstanceList::default());
-    assert_eq!(state.shown_instances().revision.0, 2);
+    assert_eq!(state.visible_instances().revision.0, 2);
     state.set_fault(FaultSettings {
         list_lag_ms: 60_000,
         ..FaultSettings::default()
     });
-    assert_eq!(state.shown_instances().revision.0, 1);
+    assert_eq!(state.visible_instances().revision.0, 1);
 }
 
 #[tokio::test]
-async fn a_watch_ends_with_the_next_revision_and_not_before() {
+async fn a_watch_returns_at_the_next_revision_and_not_earlier() {
     let state = PlatformState::default();
     let revision = state.publish_config("one".to_owned());
     let early = state
