--- a/standins/fabric/src/admin.rs
+++ b/standins/fabric/src/admin.rs
@@ -1,4 +1,4 @@
-//! HTTP by which tests set topology and faults and read the counters.
+//! The HTTP interface for tests: sets the topology and the faults, and returns the counters.
 
 use std::net::{IpAddr, SocketAddrV4};
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use rocket::{Build, Rocket, State, get, put, routes};
 
 use crate::counters::FabricCounters;
-use crate::entry::apply_topology;
+use crate::ingress::apply_topology;
 use crate::settings::{FabricTopology, FaultPlan};
 use crate::state::FabricState;
 
-/// Largest body that is read: the zones of a few thousand addresses.
+/// Size limit of a request body. It has room for the zones of a few thousand addresses.
 const MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 
 #[put("/topology", data = "<topology>")]
@@ -36,10 +36,10 @@
 
 #[get("/counters")]
 fn get_counters(state: &State<Arc<FabricState>>) -> Json<FabricCounters> {
-    Json(state.counters.read())
+    Json(state.counters.snapshot())
 }
 
-/// The server, not yet started; `gateway` is named in the ready line that it prints.
+/// Builds the server, which prints a ready line with the `gateway` address once it listens.
 pub(crate) fn build_admin(
     state: Arc<FabricState>,
     address: SocketAddrV4,
@@ -52,7 +52,7 @@
         workers: 1,
         log_level: LogLevel::Off,
         limits,
-        // Signals end the whole process elsewhere.
+        // `run_fabric` handles the signals for the whole process.
         shutdown: Shutdown {
             ctrlc: false,
             signals: std::collections::HashSet::new(),
--- a/standins/fabric/src/counters.rs
+++ b/standins/fabric/src/counters.rs
@@ -1,45 +1,46 @@
-//! Counts of what passed the fabric.
+//! Counters of forwarded and lost datagrams and of streams.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::{Deserialize, Serialize};
 
-/// The counts at one moment.
+/// A snapshot of the counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FabricCounters {
-    /// Callers' datagrams received.
+    /// Datagrams received from callers.
     pub from_callers: u64,
     /// Datagrams sent to callers.
     pub to_callers: u64,
-    /// Datagrams handed to balancers.
+    /// Datagrams sent to balancers.
     pub to_balancers: u64,
-    /// Datagrams passed on between processes.
+    /// Datagrams forwarded between processes.
     pub between_processes: u64,
-    /// Datagrams lost on purpose.
+    /// Datagrams dropped by the fault plan.
     pub dropped: u64,
-    /// Datagrams sent twice on purpose.
+    /// Datagrams duplicated by the fault plan.
     pub duplicated: u64,
-    /// Datagrams delayed so that later ones overtake them.
+    /// Datagrams that got an extra delay so that later ones overtake them.
     pub reordered: u64,
-    /// Datagrams lost because their zones are cut apart.
+    /// Datagrams dropped because of a cut between their zones.
     pub cut: u64,
-    /// Datagrams lost because their flow is silent.
+    /// Datagrams dropped because their flow is silenced.
     pub silenced: u64,
-    /// Datagrams at the gateway without a readable header.
+    /// Datagrams at the gateway without a valid header.
     pub unreadable: u64,
-    /// Datagrams that the operating system refused to send.
+    /// Datagrams that could not be sent: no balancer is known, the delay queue is full or the
+    /// operating system refused them.
     pub not_sent: u64,
-    /// TCP streams passed on.
+    /// TCP streams connected to their destination.
     pub streams: u64,
 }
 
-/// One running count.
+/// The counter of one event.
 #[derive(Debug, Default)]
-pub(crate) struct CountCell(AtomicU64);
+pub(crate) struct EventCounter(AtomicU64);
 
-impl CountCell {
-    pub(crate) fn add_one(&self) {
+impl EventCounter {
+    pub(crate) fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -48,25 +49,25 @@
     }
 }
 
-/// The running counts.
+/// The counters, shared by all threads.
 #[derive(Debug, Default)]
-pub(crate) struct CounterCells {
-    pub(crate) from_callers: CountCell,
-    pub(crate) to_callers: CountCell,
-    pub(crate) to_balancers: CountCell,
-    pub(crate) between_processes: CountCell,
-    pub(crate) dropped: CountCell,
-    pub(crate) duplicated: CountCell,
-    pub(crate) reordered: CountCell,
-    pub(crate) cut: CountCell,
-    pub(crate) silenced: CountCell,
-    pub(crate) unreadable: CountCell,
-    pub(crate) not_sent: CountCell,
-    pub(crate) streams: CountCell,
+pub(crate) struct CounterSet {
+    pub(crate) from_callers: EventCounter,
+    pub(crate) to_callers: EventCounter,
+    pub(crate) to_balancers: EventCounter,
+    pub(crate) between_processes: EventCounter,
+    pub(crate) dropped: EventCounter,
+    pub(crate) duplicated: EventCounter,
+    pub(crate) reordered: EventCounter,
+    pub(crate) cut: EventCounter,
+    pub(crate) silenced: EventCounter,
+    pub(crate) unreadable: EventCounter,
+    pub(crate) not_sent: EventCounter,
+    pub(crate) streams: EventCounter,
 }
 
-impl CounterCells {
-    pub(crate) fn read(&self) -> FabricCounters {
+impl CounterSet {
+    pub(crate) fn snapshot(&self) -> FabricCounters {
         FabricCounters {
             from_callers: self.from_callers.get(),
             to_callers: self.to_callers.get(),
--- a/standins/fabric/src/delay.rs
+++ b/standins/fabric/src/delay.rs
@@ -1,4 +1,4 @@
-//! Datagrams under way: sent when they are due.
+//! Delays datagrams on their way.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,14 +8,14 @@
 
 use parking_lot::{Condvar, Mutex};
 
-use crate::counters::CounterCells;
+use crate::counters::CounterSet;
 
-/// The most datagrams under way; above it the network is congested and loses them.
-const MAX_UNDER_WAY: usize = 200_000;
+/// Limit of datagrams in flight. Further ones are dropped, as by a congested network.
+const MAX_IN_FLIGHT: usize = 200_000;
 
 struct DelayedDatagram {
     due: Instant,
-    /// Keeps datagrams that are due together in order.
+    /// Sequence number, which keeps datagrams with the same due time in order.
     order: u64,
     socket: Arc<UdpSocket>,
     destination: SocketAddrV4,
@@ -48,7 +48,7 @@
     next_order: u64,
 }
 
-/// Sends each datagram after its delay, on a thread of its own.
+/// Sends each datagram after its delay, on the thread that calls [`DelayQueue::run`].
 #[derive(Default)]
 pub(crate) struct DelayQueue {
     heap: Mutex<DelayHeap>,
@@ -56,7 +56,7 @@
 }
 
 impl DelayQueue {
-    /// Takes a datagram; returns `false` when too many are under way.
+    /// Queues a datagram. Returns `false` if too many are in flight.
     pub(crate) fn push(
         &self,
         delay: Duration,
@@ -65,7 +65,7 @@
         bytes: Vec<u8>,
     ) -> bool {
         let mut heap = self.heap.lock();
-        if heap.waiting.len() >= MAX_UNDER_WAY {
+        if heap.waiting.len() >= MAX_IN_FLIGHT {
             return false;
         }
         let order = heap.next_order;
@@ -89,15 +89,15 @@
         true
     }
 
-    /// Sends what is due, for ever.
-    pub(crate) fn run(&self, counters: &CounterCells) {
+    /// Sends datagrams when they are due. Never returns.
+    pub(crate) fn run(&self, counters: &CounterSet) {
         loop {
             let datagram = self.wait_for_due();
             let sent = datagram
                 .socket
                 .send_to(&datagram.bytes, datagram.destination);
             if sent.is_err() {
-                counters.not_sent.add_one();
+                counters.not_sent.increment();
             }
         }
     }
--- a/standins/fabric/src/gateway.rs
+++ b/standins/fabric/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway for datagrams: from process to process, and from agents to callers.
+//! The UDP gateway: forwards datagrams between processes and from agents to callers.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -6,51 +6,51 @@
 use lovagelatch_network::{PacketEnds, parse_header};
 use rand::rngs::StdRng;
 
-use crate::entry::DATAGRAM_BYTES;
+use crate::ingress::MAX_DATAGRAM_BYTES;
 use crate::state::{FabricState, LinkDatagram};
 
-/// Passes datagrams on, for ever.
-pub(crate) fn pass_datagrams(state: &FabricState, socket: &Arc<UdpSocket>) {
+/// Forwards datagrams. Never returns.
+pub(crate) fn forward_datagrams(state: &FabricState, socket: &Arc<UdpSocket>) {
     let mut rng = state.new_rng();
-    let mut received = vec![0; DATAGRAM_BYTES];
+    let mut received = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // Timeouts and the network's answers to earlier datagrams say nothing here.
+        // Skips timeouts and ICMP errors for earlier datagrams.
         let Ok((length, SocketAddr::V4(_))) = socket.recv_from(&mut received) else {
             continue;
         };
         match parse_header(&received[..length]) {
-            Ok((ends, bytes)) => pass_on(state, socket, ends, bytes, &mut rng),
-            Err(_) => state.counters.unreadable.add_one(),
+            Ok((ends, bytes)) => forward(state, socket, ends, bytes, &mut rng),
+            Err(_) => state.counters.unreadable.increment(),
         }
     }
 }
 
-fn pass_on(
+fn forward(
     state: &FabricState,
     socket: &Arc<UdpSocket>,
     ends: PacketEnds,
     bytes: &[u8],
     rng: &mut StdRng,
 ) {
-    let port = state.ports.lock().get(&ends.source).cloned();
-    match port {
-        Some(port) => {
-            if !state.passes_flow(ends.destination, ends.source) {
+    let service = state.services.lock().get(&ends.source).cloned();
+    match service {
+        Some(service) => {
+            if !state.admit_packet(ends.destination, ends.source) {
                 return;
             }
-            state.counters.to_callers.add_one();
+            state.counters.to_callers.increment();
             let datagram = LinkDatagram {
-                socket: &port.socket,
+                socket: &service.socket,
                 destination: ends.destination,
                 bytes,
             };
             state.transmit(state.topology().client_delay(), &datagram, rng);
         }
-        None => pass_between(state, socket, ends, bytes, rng),
+        None => forward_to_process(state, socket, ends, bytes, rng),
     }
 }
 
-fn pass_between(
+fn forward_to_process(
     state: &FabricState,
     socket: &Arc<UdpSocket>,
     ends: PacketEnds,
@@ -58,10 +58,10 @@
     rng: &mut StdRng,
 ) {
     if state.is_cut(ends.source, ends.destination) {
-        state.counters.cut.add_one();
+        state.counters.cut.increment();
         return;
     }
-    state.counters.between_processes.add_one();
+    state.counters.between_processes.increment();
     let delay = state
         .topology()
         .delay_between(ends.source, ends.destination);
--- a/standins/fabric/src/entry.rs
+++ b/standins/fabric/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Service addresses: callers' datagrams come in here and are sprayed over the balancers.
+//! Receives callers' datagrams at the service addresses and distributes them over the balancers.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -14,20 +14,20 @@
 use crate::settings::FabricTopology;
 use crate::state::{FabricState, LinkDatagram};
 
-/// Room for one datagram, in bytes.
-pub(crate) const DATAGRAM_BYTES: usize = 64 * 1024;
+/// Size of the receive buffer: the largest UDP datagram.
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Asked-for kernel buffers, in bytes; the kernel gives what its limits allow.
+/// Requested size of the socket buffers. The kernel may grant less.
 const SOCKET_BUFFER_BYTES: usize = 8 * 1024 * 1024;
 
-/// How late the end of a thread may be seen.
+/// Interval at which a receiving thread checks whether its socket is closed.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// One bound service address.
-pub(crate) struct ServicePort {
+/// The socket of one service address.
+pub(crate) struct ServiceSocket {
     pub(crate) address: SocketAddrV4,
     pub(crate) socket: Arc<UdpSocket>,
-    ended: AtomicBool,
+    closed: AtomicBool,
 }
 
 /// Binds a UDP socket with large buffers and a read timeout.
@@ -40,75 +40,75 @@
     Ok(socket.into())
 }
 
-/// Puts a topology into force: binds new service addresses, gives up those no longer listed.
+/// Applies a topology: binds new service addresses and closes those that are no longer listed.
 pub(crate) fn apply_topology(state: &Arc<FabricState>, topology: FabricTopology) -> io::Result<()> {
-    let mut ports = state.ports.lock();
+    let mut services = state.services.lock();
     for &address in &topology.services {
-        if ports.contains_key(&address) {
+        if services.contains_key(&address) {
             continue;
         }
-        let port = Arc::new(ServicePort {
+        let service = Arc::new(ServiceSocket {
             address,
             socket: Arc::new(bind_socket(address)?),
-            ended: AtomicBool::new(false),
+            closed: AtomicBool::new(false),
         });
-        start_port(state, &port)?;
-        ports.insert(address, port);
+        spawn_receiver(state, &service)?;
+        services.insert(address, service);
     }
-    ports.retain(|address, port| {
+    services.retain(|address, service| {
         let listed = topology.services.contains(address);
-        port.ended.store(!listed, Ordering::Relaxed);
+        service.closed.store(!listed, Ordering::Relaxed);
         listed
     });
-    drop(ports);
+    drop(services);
     state.set_topology(topology);
     Ok(())
 }
 
-fn start_port(state: &Arc<FabricState>, port: &Arc<ServicePort>) -> io::Result<()> {
-    let (state, port) = (Arc::clone(state), Arc::clone(port));
-    let thread = std::thread::Builder::new().name(format!("service-{}", port.address));
-    thread.spawn(move || spray(&state, &port))?;
+fn spawn_receiver(state: &Arc<FabricState>, service: &Arc<ServiceSocket>) -> io::Result<()> {
+    let (state, service) = (Arc::clone(state), Arc::clone(service));
+    let thread = std::thread::Builder::new().name(format!("service-{}", service.address));
+    thread.spawn(move || distribute_datagrams(&state, &service))?;
     Ok(())
 }
 
-fn spray(state: &FabricState, port: &ServicePort) {
+fn distribute_datagrams(state: &FabricState, service: &ServiceSocket) {
     let mut rng = state.new_rng();
-    let mut received = vec![0; DATAGRAM_BYTES];
-    let mut sent = Vec::with_capacity(DATAGRAM_BYTES);
-    while !port.ended.load(Ordering::Relaxed) {
-        // Timeouts and the network's answers to earlier datagrams say nothing here.
-        let Ok((length, SocketAddr::V4(caller))) = port.socket.recv_from(&mut received) else {
+    let mut received = vec![0; MAX_DATAGRAM_BYTES];
+    let mut sent = Vec::with_capacity(MAX_DATAGRAM_BYTES);
+    while !service.closed.load(Ordering::Relaxed) {
+        // Skips timeouts and ICMP errors for earlier datagrams.
+        let Ok((length, SocketAddr::V4(caller))) = service.socket.recv_from(&mut received) else {
             continue;
         };
-        if port.ended.load(Ordering::Relaxed) {
+        if service.closed.load(Ordering::Relaxed) {
             return;
         }
-        state.counters.from_callers.add_one();
-        if !state.passes_flow(caller, port.address) {
+        state.counters.from_callers.increment();
+        if !state.admit_packet(caller, service.address) {
             continue;
         }
         let ends = PacketEnds {
             source: caller,
-            destination: port.address,
+            destination: service.address,
         };
         sent.clear();
         sent.extend_from_slice(&write_header(&ends));
         sent.extend_from_slice(&received[..length]);
-        hand_to_balancer(state, port, &sent, &mut rng);
+        send_to_balancer(state, service, &sent, &mut rng);
     }
 }
 
-fn hand_to_balancer(state: &FabricState, port: &ServicePort, bytes: &[u8], rng: &mut StdRng) {
+fn send_to_balancer(state: &FabricState, service: &ServiceSocket, bytes: &[u8], rng: &mut StdRng) {
     let topology = state.topology();
     if topology.balancers.is_empty() {
-        state.counters.not_sent.add_one();
+        state.counters.not_sent.increment();
         return;
     }
     let choice = rng.random_range(0..topology.balancers.len());
-    state.counters.to_balancers.add_one();
+    state.counters.to_balancers.increment();
     let datagram = LinkDatagram {
-        socket: &port.socket,
+        socket: &service.socket,
         destination: topology.balancers[choice],
         bytes,
     };
--- a/standins/fabric/src/lib.rs
+++ b/standins/fabric/src/lib.rs
@@ -1,9 +1,8 @@
 //! A stand-in for the users' network, for tests only.
 //!
-//! It binds every service address and hands each caller's datagram to a balancer picked at
-//! random. It is also the gateway by which the system's processes reach each other and answer
-//! callers, so that it can delay, drop, duplicate, reorder and cut what passes, between zones
-//! or everywhere.
+//! It binds every service address and sends each caller's datagram to a random balancer. It is also
+//! the gateway through which the system's processes reach each other and respond to callers. It can
+//! delay, drop, duplicate and reorder datagrams, and cut the links between zones.
 //!
 //! ```text
 //! caller --> [service address] --PROXY v2--> any balancer
@@ -15,8 +14,8 @@
 mod command;
 mod counters;
 mod delay;
-mod entry;
 mod gateway;
+mod ingress;
 mod link;
 mod run;
 mod settings;
@@ -25,6 +24,6 @@
 
 pub use command::{CommandLine, command_line};
 pub use counters::FabricCounters;
-pub use link::{LinkFate, decide_fate};
+pub use link::{LinkOutcome, draw_outcome};
 pub use run::{FabricError, run_fabric};
 pub use settings::{FabricTopology, FaultPlan};
--- a/standins/fabric/src/link.rs
+++ b/standins/fabric/src/link.rs
@@ -1,4 +1,4 @@
-//! What happens to one datagram on its way.
+//! Faults of one datagram on a link.
 
 use std::time::Duration;
 
@@ -7,38 +7,39 @@
 
 use crate::settings::FaultPlan;
 
-/// The longest time by which a reordered datagram is late.
-const MAX_OVERTAKEN: Duration = Duration::from_millis(5);
+/// Upper limit of the extra delay of a reordered datagram.
+const MAX_REORDER_DELAY: Duration = Duration::from_millis(5);
 
-/// When the copies of a datagram arrive, counted from now.
+/// The copies of one datagram that a link delivers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LinkFate {
-    /// One delay for each copy; none when the datagram is lost.
+pub struct LinkOutcome {
+    /// The delay of each copy; empty if the datagram is dropped.
     pub copies: SmallVec<[Duration; 2]>,
-    /// Whether a copy is late enough that others overtake it.
+    /// Whether the first copy has an extra delay, so that later datagrams can overtake it.
     pub reordered: bool,
 }
 
-/// Draws the fate of a datagram on a link with this delay.
-pub fn decide_fate(plan: &FaultPlan, delay: Duration, rng: &mut impl Rng) -> LinkFate {
-    let mut fate = LinkFate::default();
-    if happens(plan.drop, rng) {
-        return fate;
+/// Draws the outcome of one datagram on a link with the given delay.
+pub fn draw_outcome(plan: &FaultPlan, delay: Duration, rng: &mut impl Rng) -> LinkOutcome {
+    let mut outcome = LinkOutcome::default();
+    if draw_event(plan.drop, rng) {
+        return outcome;
     }
-    fate.reordered = happens(plan.reorder, rng);
-    let extra = if fate.reordered {
-        rng.random_range(Duration::ZERO..=MAX_OVERTAKEN)
+    outcome.reordered = draw_event(plan.reorder, rng);
+    let extra = if outcome.reordered {
+        rng.random_range(Duration::ZERO..=MAX_REORDER_DELAY)
     } else {
         Duration::ZERO
     };
-    fate.copies.push(delay + extra);
-    if happens(plan.duplicate, rng) {
-        fate.copies.push(delay);
+    outcome.copies.push(delay + extra);
+    if draw_event(plan.duplicate, rng) {
+        outcome.copies.push(delay);
     }
-    fate
+    outcome
 }
 
-/// Draws nothing for a share of 0, so that a quiet plan costs no randomness.
-fn happens(share: f64, rng: &mut impl Rng) -> bool {
+/// Returns `true` with the given probability. Consumes no randomness for a share of 0, so that a
+/// plan without faults does not advance `rng`.
+fn draw_event(share: f64, rng: &mut impl Rng) -> bool {
     share > 0.0 && rng.random_bool(share.min(1.0))
 }
--- a/standins/fabric/src/main.rs
+++ b/standins/fabric/src/main.rs
@@ -1,4 +1,4 @@
-//! `lovagelatch-fabric`: see the library of this package.
+//! `lovagelatch-fabric`: runs the network stand-in.
 
 use std::process::ExitCode;
 
@@ -7,8 +7,8 @@
 fn main() -> ExitCode {
     match run_fabric(&command_line().run()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("{failure}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/standins/fabric/src/run.rs
+++ b/standins/fabric/src/run.rs
@@ -1,4 +1,4 @@
-//! The fabric process: start and stop.
+//! Starts the fabric process and runs it until a signal.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -10,29 +10,30 @@
 
 use crate::admin::build_admin;
 use crate::command::CommandLine;
-use crate::entry::bind_socket;
-use crate::gateway::pass_datagrams;
+use crate::gateway::forward_datagrams;
+use crate::ingress::bind_socket;
 use crate::state::FabricState;
-use crate::streams::pass_streams;
+use crate::streams::forward_streams;
 
-/// Tries to find a port that is free for both UDP and TCP.
+/// Attempts to find a port that is free for both UDP and TCP.
 const PORT_ATTEMPTS: usize = 32;
 
-/// Why the fabric could not run.
+/// Why the fabric did not start, or stopped.
 #[derive(Debug, Error)]
 pub enum FabricError {
-    /// The gateway address cannot be used.
+    /// The gateway address could not be bound.
     #[error("gateway {address}: {source}")]
     Gateway {
-        /// The address.
+        /// The address from the command line.
         address: SocketAddrV4,
-        /// What the operating system said.
+        /// The error of the last attempt.
         source: io::Error,
     },
-    /// The admin server could not run.
+    /// The admin server failed.
     #[error("admin server: {0}")]
     Admin(#[from] Box<rocket::Error>),
-    /// The operating system refused something else that the process needs.
+    /// Another resource of the process could not be created, such as a thread or a signal
+    /// handler.
     #[error("operating system: {0}")]
     System(#[from] io::Error),
 }
@@ -41,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// A [`FabricError`] when it cannot start.
+/// Returns a [`FabricError`] if the fabric cannot start or its admin server fails.
 pub fn run_fabric(line: &CommandLine) -> Result<(), FabricError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -56,7 +57,7 @@
     let state = Arc::new(FabricState::new(line.seed));
     let (listener, socket, gateway) = bind_gateway(line.listen_gateway).await?;
     start_threads(&state, socket)?;
-    tokio::spawn(pass_streams(Arc::clone(&state), listener));
+    tokio::spawn(forward_streams(Arc::clone(&state), listener));
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let admin = build_admin(state, line.admin, gateway).launch();
@@ -68,25 +69,26 @@
 }
 
 fn start_threads(state: &Arc<FabricState>, socket: UdpSocket) -> Result<(), FabricError> {
-    let (passing, socket) = (Arc::clone(state), Arc::new(socket));
-    // One thread only: two would reorder datagrams that no fault asked to reorder.
+    let (gateway_state, socket) = (Arc::clone(state), Arc::new(socket));
+    // A single thread, because two would reorder datagrams without a fault.
     let gateway = std::thread::Builder::new().name("gateway".to_owned());
-    gateway.spawn(move || pass_datagrams(&passing, &socket))?;
-    let delaying = Arc::clone(state);
+    gateway.spawn(move || forward_datagrams(&gateway_state, &socket))?;
+    let delay_state = Arc::clone(state);
     let delay = std::thread::Builder::new().name("delay".to_owned());
-    delay.spawn(move || delaying.queue.run(&delaying.counters))?;
+    delay.spawn(move || delay_state.queue.run(&delay_state.counters))?;
     Ok(())
 }
 
-/// Binds the gateway for TCP and UDP at one port.
+/// Binds the gateway for TCP and UDP to the same port. Retries with another port if `address`
+/// leaves the choice to the operating system.
 async fn bind_gateway(
     address: SocketAddrV4,
 ) -> Result<(TcpListener, UdpSocket, SocketAddrV4), FabricError> {
-    let mut last = io::Error::from(io::ErrorKind::AddrInUse);
+    let mut last_error = io::Error::from(io::ErrorKind::AddrInUse);
     for _ in 0..PORT_ATTEMPTS {
-        match bind_pair(address).await {
-            Ok(pair) => return Ok(pair),
-            Err(error) => last = error,
+        match bind_sockets(address).await {
+            Ok(bound) => return Ok(bound),
+            Err(error) => last_error = error,
         }
         if address.port() != 0 {
             break;
@@ -94,11 +96,11 @@
     }
     Err(FabricError::Gateway {
         address,
-        source: last,
+        source: last_error,
     })
 }
 
-async fn bind_pair(address: SocketAddrV4) -> io::Result<(TcpListener, UdpSocket, SocketAddrV4)> {
+async fn bind_sockets(address: SocketAddrV4) -> io::Result<(TcpListener, UdpSocket, SocketAddrV4)> {
     let listener = TcpListener::bind(address).await?;
     let SocketAddr::V4(bound) = listener.local_addr()? else {
         return Err(io::ErrorKind::Unsupported.into());
--- a/standins/fabric/src/settings.rs
+++ b/standins/fabric/src/settings.rs
@@ -1,4 +1,4 @@
-//! What tests tell the fabric.
+//! The settings of tests: topology and faults.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -6,30 +6,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Which addresses there are, and how far apart they lie.
+/// The addresses of the network and the delays between them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FabricTopology {
-    /// The service addresses, which the fabric binds.
+    /// Service addresses, which the fabric binds.
     pub services: Vec<SocketAddrV4>,
-    /// Where balancers take callers' datagrams.
+    /// Addresses at which balancers receive callers' datagrams.
     pub balancers: Vec<SocketAddrV4>,
-    /// The availability zone of each address that processes send from or to.
+    /// Availability zone of each address of a process.
     pub zones: HashMap<SocketAddrV4, String>,
-    /// Delay between callers and the network, one way, in microseconds.
+    /// One-way delay between callers and the network, in microseconds.
     pub client_delay_us: u64,
-    /// Delay between different zones, one way, in microseconds.
+    /// One-way delay between different zones, in microseconds.
     pub zone_delay_us: u64,
 }
 
 impl FabricTopology {
-    /// Delay between callers and the network, one way.
+    /// Returns the one-way delay between callers and the network.
     #[must_use]
     pub fn client_delay(&self) -> Duration {
         Duration::from_micros(self.client_delay_us)
     }
 
-    /// Delay from one process to another, one way; an address without a zone is near all.
+    /// Returns the one-way delay between two processes. An address without a zone has no delay.
     #[must_use]
     pub fn delay_between(&self, source: SocketAddrV4, destination: SocketAddrV4) -> Duration {
         match self.zones_between(source, destination) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The zones of two addresses, when both are known.
+    /// Returns the zones of two addresses if both are known.
     #[must_use]
     pub fn zones_between(
         &self,
@@ -51,29 +51,30 @@
     }
 }
 
-/// What goes wrong on the network now. Each plan replaces the one before; what it leaves out is
-/// in order.
+/// The faults of the network. Each plan replaces the previous one; fields that are left out mean
+/// no fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultPlan {
-    /// The share of datagrams that are lost, 0 to 1.
+    /// Share of datagrams that are dropped, 0 to 1.
     pub drop: f64,
-    /// The share of datagrams that arrive twice, 0 to 1.
+    /// Share of datagrams that are duplicated, 0 to 1.
     pub duplicate: f64,
-    /// The share of datagrams that are overtaken by later ones, 0 to 1.
+    /// Share of datagrams with an extra delay, so that later ones can overtake them, 0 to 1.
     pub reorder: f64,
-    /// Pairs of zones between which nothing passes, one way each.
+    /// Cut links between zones, as pairs of source and destination. A cut applies to one
+    /// direction.
     pub cut_zones: Vec<(String, String)>,
-    /// Loses all datagrams, both ways, of callers' flows that were seen before this was set;
-    /// flows from other caller addresses pass.
+    /// Drops all datagrams, in both directions, of callers' flows that were seen before this was
+    /// set. Flows from other caller addresses are not affected.
     pub silent_callers: bool,
-    /// Holds back, for good, all bytes of TCP streams that were open before this was set; new
-    /// streams pass.
+    /// Stalls all TCP streams that were open before this was set, until it is cleared. New streams
+    /// are not affected.
     pub silent_streams: bool,
 }
 
 impl FaultPlan {
-    /// Whether nothing passes from one zone to another.
+    /// Whether the link from one zone to another is cut.
     #[must_use]
     pub fn is_cut(&self, from: &str, to: &str) -> bool {
         self.cut_zones
--- a/standins/fabric/src/state.rs
+++ b/standins/fabric/src/state.rs
@@ -1,4 +1,4 @@
-//! What all parts of the fabric share.
+//! The state that all threads and tasks of the fabric share.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddrV4, UdpSocket};
@@ -10,18 +10,18 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::counters::CounterCells;
+use crate::counters::CounterSet;
 use crate::delay::DelayQueue;
-use crate::entry::ServicePort;
-use crate::link::decide_fate;
+use crate::ingress::ServiceSocket;
+use crate::link::draw_outcome;
 use crate::settings::{FabricTopology, FaultPlan};
 
-/// A caller's flow as the network sees it.
+/// A caller's flow: the caller's address and the service address.
 pub(crate) type CallerFlow = (SocketAddrV4, SocketAddrV4);
 
-/// Flows seen, and those that went silent.
+/// The flows seen so far and those that are silenced.
 #[derive(Default)]
-struct FlowMemory {
+struct FlowTable {
     seen: HashSet<CallerFlow>,
     silenced: HashSet<CallerFlow>,
 }
@@ -33,13 +33,13 @@
     next_seed: AtomicU64,
     topology: RwLock<Arc<FabricTopology>>,
     plan: RwLock<Arc<FaultPlan>>,
-    flows: Mutex<FlowMemory>,
+    flows: Mutex<FlowTable>,
     next_stream: AtomicU64,
-    /// Streams with a lower number are silent.
+    /// Streams with lower numbers are stalled.
     silent_below: AtomicU64,
-    pub(crate) ports: Mutex<HashMap<SocketAddrV4, Arc<ServicePort>>>,
+    pub(crate) services: Mutex<HashMap<SocketAddrV4, Arc<ServiceSocket>>>,
     pub(crate) queue: DelayQueue,
-    pub(crate) counters: CounterCells,
+    pub(crate) counters: CounterSet,
 }
 
 impl FabricState {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A source of randomness for one thread or task.
+    /// Returns the random number generator of one more thread or task.
     pub(crate) fn new_rng(&self) -> StdRng {
         let number = self.next_seed.fetch_add(1, Ordering::Relaxed);
         StdRng::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9).wrapping_add(number))
@@ -68,17 +68,17 @@
         *self.topology.write() = Arc::new(topology);
     }
 
-    /// Puts a plan into force. Flows and streams are silenced when the plan first says so, not
-    /// again by a later plan that says so still.
+    /// Applies a plan. Flows and streams are silenced by the first plan that sets the fault. A later
+    /// plan that still has it does not silence flows and streams opened since.
     pub(crate) fn set_plan(&self, plan: FaultPlan) {
-        let mut held = self.plan.write();
+        let mut current = self.plan.write();
         let mut flows = self.flows.lock();
-        match (held.silent_callers, plan.silent_callers) {
+        match (current.silent_callers, plan.silent_callers) {
             (false, true) => flows.silenced = flows.seen.clone(),
             (_, false) => flows.silenced.clear(),
             (true, true) => {}
         }
-        match (held.silent_streams, plan.silent_streams) {
+        match (current.silent_streams, plan.silent_streams) {
             (false, true) => {
                 let next = self.next_stream.load(Ordering::Relaxed);
                 self.silent_below.store(next, Ordering::Relaxed);
@@ -86,21 +86,21 @@
             (_, false) => self.silent_below.store(0, Ordering::Relaxed),
             (true, true) => {}
         }
-        *held = Arc::new(plan);
+        *current = Arc::new(plan);
     }
 
-    /// Notes a packet of a caller's flow; `false` when the flow is silent.
-    pub(crate) fn passes_flow(&self, caller: SocketAddrV4, service: SocketAddrV4) -> bool {
+    /// Records a packet of a caller's flow. Returns `false` if the flow is silenced.
+    pub(crate) fn admit_packet(&self, caller: SocketAddrV4, service: SocketAddrV4) -> bool {
         let mut flows = self.flows.lock();
         if flows.silenced.contains(&(caller, service)) {
-            self.counters.silenced.add_one();
+            self.counters.silenced.increment();
             return false;
         }
         flows.seen.insert((caller, service));
         true
     }
 
-    pub(crate) fn new_stream(&self) -> u64 {
+    pub(crate) fn new_stream_number(&self) -> u64 {
         self.next_stream.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -108,25 +108,25 @@
         stream < self.silent_below.load(Ordering::Relaxed)
     }
 
-    /// Whether nothing passes from one process to another.
+    /// Whether the link from one process to another is cut.
     pub(crate) fn is_cut(&self, source: SocketAddrV4, destination: SocketAddrV4) -> bool {
         let topology = self.topology();
         let zones = topology.zones_between(source, destination);
         zones.is_some_and(|(from, to)| self.plan().is_cut(from, to))
     }
 
-    /// Sends a datagram over a link with this delay, as the faults allow.
+    /// Sends a datagram over a link with the given delay, subject to the fault plan.
     pub(crate) fn transmit(&self, delay: Duration, datagram: &LinkDatagram<'_>, rng: &mut StdRng) {
-        let fate = decide_fate(&self.plan(), delay, rng);
-        match fate.copies.len() {
-            0 => self.counters.dropped.add_one(),
+        let outcome = draw_outcome(&self.plan(), delay, rng);
+        match outcome.copies.len() {
+            0 => self.counters.dropped.increment(),
             1 => {}
-            _ => self.counters.duplicated.add_one(),
+            _ => self.counters.duplicated.increment(),
         }
-        if fate.reordered {
-            self.counters.reordered.add_one();
+        if outcome.reordered {
+            self.counters.reordered.increment();
         }
-        for delay in fate.copies {
+        for delay in outcome.copies {
             self.send_after(delay, datagram);
         }
     }
@@ -143,12 +143,12 @@
                 .push(delay, datagram.socket, datagram.destination, bytes)
         };
         if !sent {
-            self.counters.not_sent.add_one();
+            self.counters.not_sent.increment();
         }
     }
 }
 
-/// A datagram that is about to leave the fabric.
+/// A datagram to send on a link.
 pub(crate) struct LinkDatagram<'a> {
     pub(crate) socket: &'a Arc<UdpSocket>,
     pub(crate) destination: SocketAddrV4,
--- a/standins/fabric/src/streams.rs
+++ b/standins/fabric/src/streams.rs
@@ -1,7 +1,7 @@
-//! The gateway for TCP streams between processes.
+//! The TCP gateway: forwards streams between processes.
 //!
-//! Bytes are never lost on a stream: a cut holds them back until it is mended, as
-//! retransmission would, and a silent stream holds them back for good.
+//! A stream never loses bytes. A cut stalls it until the cut ends, as TCP retransmission would, and
+//! a silenced stream stalls until the fault is cleared.
 
 use std::io;
 use std::sync::Arc;
@@ -16,61 +16,62 @@
 
 use crate::state::FabricState;
 
-/// Bytes read at a time.
+/// Size of the read buffer.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Chunks under way in one direction of a stream.
-const CHUNKS_UNDER_WAY: usize = 64;
+/// Limit of chunks in flight in one direction of a stream.
+const CHUNKS_IN_FLIGHT: usize = 64;
 
-/// How late the end of a cut may be seen.
-const CUT_STEP: Duration = Duration::from_millis(10);
+/// Interval at which a stalled stream checks for the end of a cut. Also the backoff after a failed
+/// accept.
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long a new stream may take to send its header.
+/// Time in which a new stream must send its header.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts streams, for ever.
-pub(crate) async fn pass_streams(state: Arc<FabricState>, listener: TcpListener) {
+/// Accepts and forwards streams. Never returns.
+pub(crate) async fn forward_streams(state: Arc<FabricState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let state = Arc::clone(&state);
-                // A stream that fails ends at both sides, which is all its ends need to see.
-                tokio::spawn(async move { pass_stream(state, stream).await });
+                // A failed stream closes both connections, so the error needs no other report.
+                tokio::spawn(async move { forward_stream(state, stream).await });
             }
-            Err(_) => sleep(CUT_STEP).await,
+            Err(_) => sleep(CUT_POLL_INTERVAL).await,
         }
     }
 }
 
-async fn pass_stream(state: Arc<FabricState>, mut near: TcpStream) -> io::Result<()> {
-    near.set_nodelay(true)?;
-    let ends = timeout(HEADER_TIMEOUT, read_ends(&mut near)).await??;
-    let back = PacketEnds {
+async fn forward_stream(state: Arc<FabricState>, mut inbound: TcpStream) -> io::Result<()> {
+    inbound.set_nodelay(true)?;
+    let ends = timeout(HEADER_TIMEOUT, read_ends(&mut inbound)).await??;
+    let reversed = PacketEnds {
         source: ends.destination,
         destination: ends.source,
     };
-    let number = state.new_stream();
-    let there = StreamLink {
+    let number = state.new_stream_number();
+    let forward = StreamDirection {
         state: Arc::clone(&state),
         ends,
         number,
     };
-    let here = StreamLink {
+    let backward = StreamDirection {
         state: Arc::clone(&state),
-        ends: back,
+        ends: reversed,
         number,
     };
-    there.wait_until_open().await;
-    sleep(there.delay()).await;
-    let far = TcpStream::connect(ends.destination).await?;
-    far.set_nodelay(true)?;
-    state.counters.streams.add_one();
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    // Either direction that fails ends the other too.
+    forward.wait_until_open().await;
+    sleep(forward.delay()).await;
+    let outbound = TcpStream::connect(ends.destination).await?;
+    outbound.set_nodelay(true)?;
+    state.counters.streams.increment();
+    let (inbound_read, inbound_write) = inbound.into_split();
+    let (outbound_read, outbound_write) = outbound.into_split();
+    // A failure of one direction also ends the other.
     tokio::try_join!(
-        there.pump(near_read, far_write),
-        here.pump(far_read, near_write)
+        forward.copy(inbound_read, outbound_write),
+        backward.copy(outbound_read, inbound_write)
     )?;
     Ok(())
 }
@@ -83,13 +84,13 @@
 }
 
 /// One direction of a stream.
-struct StreamLink {
+struct StreamDirection {
     state: Arc<FabricState>,
     ends: PacketEnds,
     number: u64,
 }
 
-impl StreamLink {
+impl StreamDirection {
     fn delay(&self) -> Duration {
         let topology = self.state.topology();
         topology.delay_between(self.ends.source, self.ends.destination)
@@ -99,12 +100,12 @@
         while self.state.is_silent_stream(self.number)
             || self.state.is_cut(self.ends.source, self.ends.destination)
         {
-            sleep(CUT_STEP).await;
+            sleep(CUT_POLL_INTERVAL).await;
         }
     }
 
-    async fn pump(&self, read: OwnedReadHalf, write: OwnedWriteHalf) -> io::Result<()> {
-        let (sender, receiver) = mpsc::channel(CHUNKS_UNDER_WAY);
+    async fn copy(&self, read: OwnedReadHalf, write: OwnedWriteHalf) -> io::Result<()> {
+        let (sender, receiver) = mpsc::channel(CHUNKS_IN_FLIGHT);
         tokio::try_join!(
             self.read_chunks(read, sender),
             self.write_chunks(receiver, write)
@@ -121,7 +122,7 @@
         loop {
             let length = read.read(&mut buffer).await?;
             let due = Instant::now() + self.delay();
-            // An empty chunk carries the end of the stream, with the same delay.
+            // An empty chunk marks the end of the stream, with the same delay.
             let sent = sender.send((due, buffer[..length].to_vec())).await;
             if length == 0 || sent.is_err() {
                 return Ok(());
--- a/standins/fabric/tests/all/link.rs
+++ b/standins/fabric/tests/all/link.rs
@@ -1,8 +1,8 @@
-//! The fate of one datagram.
+//! Tests of the faults of one link, of zones and of cuts.
 
 use std::time::Duration;
 
-use lovagelatch_fabric::{FabricTopology, FaultPlan, LinkFate, decide_fate};
+use lovagelatch_fabric::{FabricTopology, FaultPlan, LinkOutcome, draw_outcome};
 use quickcheck::quickcheck;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -10,41 +10,41 @@
 const DELAY: Duration = Duration::from_millis(1);
 const DATAGRAMS: usize = 10_000;
 
-fn fates(plan: &FaultPlan, seed: u64) -> Vec<LinkFate> {
+fn outcomes(plan: &FaultPlan, seed: u64) -> Vec<LinkOutcome> {
     let mut rng = StdRng::seed_from_u64(seed);
     (0..DATAGRAMS)
-        .map(|_| decide_fate(plan, DELAY, &mut rng))
+        .map(|_| draw_outcome(plan, DELAY, &mut rng))
         .collect()
 }
 
 #[test]
-fn fates_follow_the_plan() {
-    struct FateCase {
+fn outcomes_follow_the_plan() {
+    struct OutcomeCase {
         name: &'static str,
         plan: FaultPlan,
-        lost: f64,
-        doubled: f64,
-        late: f64,
+        dropped: f64,
+        duplicated: f64,
+        reordered: f64,
     }
     let cases = [
-        FateCase {
-            name: "in order",
+        OutcomeCase {
+            name: "no fault",
             plan: FaultPlan::default(),
-            lost: 0.0,
-            doubled: 0.0,
-            late: 0.0,
+            dropped: 0.0,
+            duplicated: 0.0,
+            reordered: 0.0,
         },
-        FateCase {
-            name: "all lost",
+        OutcomeCase {
+            name: "all dropped",
             plan: FaultPlan {
                 drop: 1.0,
                 ..FaultPlan::default()
             },
-            lost: 1.0,
-            doubled: 0.0,
-            late: 0.0,
+            dropped: 1.0,
+            duplicated: 0.0,
+            reordered: 0.0,
         },
-        FateCase {
+        OutcomeCase {
             name: "shares",
             plan: FaultPlan {
                 drop: 0.1,
@@ -52,29 +52,29 @@
                 reorder: 0.3,
                 ..FaultPlan::default()
             },
-            lost: 0.1,
-            doubled: 0.18,
-            late: 0.27,
+            dropped: 0.1,
+            duplicated: 0.18,
+            reordered: 0.27,
         },
     ];
     for case in cases {
-        let fates = fates(&case.plan, 1);
-        let share = |fits: &dyn Fn(&LinkFate) -> bool| {
-            fates.iter().filter(|fate| fits(fate)).count() as f64 / DATAGRAMS as f64
+        let outcomes = outcomes(&case.plan, 1);
+        let share = |matches: &dyn Fn(&LinkOutcome) -> bool| {
+            outcomes.iter().filter(|outcome| matches(outcome)).count() as f64 / DATAGRAMS as f64
         };
-        let near = |found: f64, wanted: f64| (found - wanted).abs() < 0.02;
+        let near = |actual: f64, expected: f64| (actual - expected).abs() < 0.02;
         assert!(
-            near(share(&|fate| fate.copies.is_empty()), case.lost),
+            near(share(&|outcome| outcome.copies.is_empty()), case.dropped),
             "{}",
             case.name
         );
         assert!(
-            near(share(&|fate| fate.copies.len() == 2), case.doubled),
+            near(share(&|outcome| outcome.copies.len() == 2), case.duplicated),
             "{}",
             case.name
         );
         assert!(
-            near(share(&|fate| fate.reordered), case.late),
+            near(share(&|outcome| outcome.reordered), case.reordered),
             "{}",
             case.name
         );
@@ -82,18 +82,18 @@
 }
 
 #[test]
-fn equal_seeds_draw_equal_fates() {
+fn equal_seeds_give_equal_outcomes() {
     let plan = FaultPlan {
         drop: 0.5,
         reorder: 0.5,
         ..FaultPlan::default()
     };
-    assert_eq!(fates(&plan, 7), fates(&plan, 7));
-    assert_ne!(fates(&plan, 7), fates(&plan, 8));
+    assert_eq!(outcomes(&plan, 7), outcomes(&plan, 7));
+    assert_ne!(outcomes(&plan, 7), outcomes(&plan, 8));
 }
 
 #[test]
-fn only_different_zones_are_apart() {
+fn only_different_zones_have_a_delay() {
     let text = r#"{"zones":{"127.0.0.1:1":"a","127.0.0.1:2":"a","127.0.0.1:3":"b"},
         "zone_delay_us":1500}"#;
     let topology: FabricTopology = serde_json::from_str(text).expect("a topology");
@@ -119,9 +119,9 @@
 }
 
 quickcheck! {
-    fn any_shares_give_a_fate(drop: f64, duplicate: f64, reorder: f64) -> bool {
+    fn any_shares_give_an_outcome(drop: f64, duplicate: f64, reorder: f64) -> bool {
         let plan = FaultPlan { drop, duplicate, reorder, ..FaultPlan::default() };
         let mut rng = StdRng::seed_from_u64(1);
-        decide_fate(&plan, DELAY, &mut rng).copies.len() <= 2
+        draw_outcome(&plan, DELAY, &mut rng).copies.len() <= 2
     }
 }
--- a/standins/fabric/tests/all/support.rs
+++ b/standins/fabric/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! The real binary with its admin interface.
+//! Runs the real binary and calls its admin interface.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream, UdpSocket};
@@ -8,11 +8,11 @@
 use lovagelatch_fabric::{FabricCounters, FabricTopology, FaultPlan};
 use serde_json::Value;
 
-/// How long something that should come may take; far longer than loopback needs.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of an expected datagram, far above what loopback needs.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Long enough for something that should not come to have come.
-const QUIET: Duration = Duration::from_millis(200);
+/// Time without a datagram after which a socket counts as silent.
+const SILENCE_WINDOW: Duration = Duration::from_millis(200);
 
 pub(crate) struct RunningFabric {
     child: Child,
@@ -50,7 +50,7 @@
         assert!(self.try_topology(topology), "a service address is taken");
     }
 
-    /// `false` when a service address was taken meanwhile.
+    /// Returns `false` if another process took a service address meanwhile.
     pub(crate) fn try_topology(&self, topology: &FabricTopology) -> bool {
         let body = serde_json::to_string(topology).expect("JSON");
         let (status, _) = self.request("PUT", "/admin/topology", &body);
@@ -69,7 +69,7 @@
         serde_json::from_str(&body).expect("counters")
     }
 
-    /// Status and body of an HTTP exchange.
+    /// Sends an HTTP request and returns the status and the body of the response.
     pub(crate) fn request(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.admin).expect("connected");
         let length = body.len();
@@ -79,17 +79,20 @@
         );
         stream.write_all(head.as_bytes()).expect("sent");
         stream.write_all(body.as_bytes()).expect("sent");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
-        let status = answer.split(' ').nth(1).and_then(|text| text.parse().ok());
-        let body = answer.split_once("\r\n\r\n").map(|(_, body)| body);
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("a response");
+        let status = response
+            .split(' ')
+            .nth(1)
+            .and_then(|text| text.parse().ok());
+        let body = response.split_once("\r\n\r\n").map(|(_, body)| body);
         (status.expect("a status"), body.unwrap_or("").to_owned())
     }
 }
 
 impl Drop for RunningFabric {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -110,23 +113,23 @@
     ipv4(socket.local_addr().expect("bound"))
 }
 
-/// A service address that was free a moment ago.
+/// Returns a service address that was free a moment ago.
 pub(crate) fn free_service() -> SocketAddrV4 {
     address(&bind())
 }
 
-fn receive_within(socket: &UdpSocket, limit: Duration) -> Option<(Vec<u8>, SocketAddrV4)> {
-    socket.set_read_timeout(Some(limit)).expect("a timeout");
+fn receive_within(socket: &UdpSocket, timeout: Duration) -> Option<(Vec<u8>, SocketAddrV4)> {
+    socket.set_read_timeout(Some(timeout)).expect("a timeout");
     let mut buffer = [0; 4_096];
     let (length, source) = socket.recv_from(&mut buffer).ok()?;
     Some((buffer[..length].to_vec(), ipv4(source)))
 }
 
-/// A datagram that should come, and from where it came.
+/// Receives an expected datagram. Returns its content and its source.
 pub(crate) fn receive(socket: &UdpSocket) -> (Vec<u8>, SocketAddrV4) {
-    receive_within(socket, LIMIT).expect("it comes in time")
+    receive_within(socket, RECEIVE_TIMEOUT).expect("a datagram in time")
 }
 
 pub(crate) fn assert_silent(socket: &UdpSocket) {
-    assert_eq!(receive_within(socket, QUIET), None);
+    assert_eq!(receive_within(socket, SILENCE_WINDOW), None);
 }
