--- a/standins/callers/src/arrivals.rs
+++ b/standins/callers/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! Requests that arrive at a rate, whether or not earlier ones were answered.
+//! Generates operations in an open loop: they arrive at a fixed mean rate, whether or not earlier
+//! ones have finished.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,38 +18,38 @@
 use crate::plan::ServicePlan;
 use crate::pool::AddressPool;
 
-/// Operations that may wait at once; more are not sent, so that a stuck system does not
-/// exhaust the machine.
-const MAX_WAITING: usize = 4_000;
+/// Limit of operations in progress. Further ones are skipped, so that a hanging system does not
+/// exhaust the memory of the test machine.
+const MAX_PENDING_OPERATIONS: usize = 4_000;
 
-/// The addresses of each service, by its name.
+/// The address pools of each service, by service name.
 pub(crate) type ServicePools = HashMap<String, Vec<Arc<AddressPool>>>;
 
-/// Starts operations until the planned time is over, then waits for them all.
+/// Starts operations for the planned time, then waits for all of them.
 pub(crate) async fn run_arrivals(context: &Arc<CallerContext>, pools: &ServicePools) {
     let mut random = StdRng::seed_from_u64(context.plan.seed);
     let start = Instant::now();
     let end = start + Duration::from_secs_f64(context.plan.seconds);
     let mut next = start;
-    let mut waiting = JoinSet::new();
+    let mut pending = JoinSet::new();
     for number in 0.. {
         let gap = -(1.0 - random.random::<f64>()).ln() / context.plan.rate;
         next += Duration::from_secs_f64(gap);
-        if next >= end || context.is_over() {
+        if next >= end || context.is_finished() {
             break;
         }
         tokio::time::sleep_until(next).await;
-        while waiting.try_join_next().is_some() {}
-        if waiting.len() >= MAX_WAITING {
+        while pending.try_join_next().is_some() {}
+        if pending.len() >= MAX_PENDING_OPERATIONS {
             context.counters.skipped.fetch_add(1, Ordering::Relaxed);
             continue;
         }
         if let Some(operation) = draw_operation(context, pools, number, &mut random) {
-            waiting.spawn(operation.run());
+            pending.spawn(operation.run());
         }
     }
     tokio::time::sleep_until(end).await;
-    while waiting.join_next().await.is_some() {}
+    while pending.join_next().await.is_some() {}
 }
 
 fn draw_operation(
--- a/standins/callers/src/client.rs
+++ b/standins/callers/src/client.rs
@@ -1,4 +1,4 @@
-//! The QUIC client's configuration: the library's defaults, with limits that notice silence.
+//! Configures the QUIC client: the defaults of quinn, with timeouts that detect silent flows.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -10,35 +10,35 @@
 use rustls_pki_types::pem::PemObject;
 use thiserror::Error;
 
-/// A flow on which nothing arrives for so long is lost.
+/// Idle timeout of a flow, after which it counts as lost.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How often an idle flow proves that it is alive.
-const KEEP_ALIVE: Duration = Duration::from_millis(1_500);
+/// Interval of keep-alive packets on an idle flow.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Why a client could not be configured.
+/// Why the QUIC client could not be configured.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The authority's certificate file could not be read.
+    /// The certificate file of the authority could not be read.
     #[error("{path}: {error}")]
     Pem {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// The read or parse error.
         error: rustls_pki_types::pem::Error,
     },
-    /// The certificate was not accepted, or no TLS version fits.
+    /// The certificate was rejected, or the provider does not support TLS 1.3.
     #[error("TLS: {0}")]
     Tls(#[from] rustls::Error),
-    /// No cipher suite for QUIC.
+    /// The TLS configuration has no cipher suite for QUIC.
     #[error("TLS: {0}")]
     Cipher(#[from] NoInitialCipherSuite),
-    /// The idle timeout is out of bounds.
+    /// The idle timeout does not fit into a QUIC integer.
     #[error("transport: {0}")]
     Transport(#[from] quinn::VarIntBoundsExceeded),
 }
 
-/// Makes the configuration of a client that trusts the authority in `ca`.
+/// Returns the configuration of a client that trusts the authority in the PEM file `ca`.
 pub(crate) fn client_config(ca: &Path) -> Result<quinn::ClientConfig, ClientError> {
     let pem = |error| ClientError::Pem {
         path: ca.to_owned(),
@@ -56,7 +56,7 @@
     tls.alpn_protocols = vec![b"h3".to_vec()];
     let mut transport = quinn::TransportConfig::default();
     transport.max_idle_timeout(Some(IDLE_TIMEOUT.try_into()?));
-    transport.keep_alive_interval(Some(KEEP_ALIVE));
+    transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     let mut config = quinn::ClientConfig::new(Arc::new(QuicClientConfig::try_from(tls)?));
     config.transport_config(Arc::new(transport));
     Ok(config)
--- a/standins/callers/src/context.rs
+++ b/standins/callers/src/context.rs
@@ -1,4 +1,4 @@
-//! What all callers of a run share.
+//! State that all callers of a run share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
@@ -9,24 +9,24 @@
 
 use crate::plan::CallerPlan;
 
-/// Counts of a run so far.
+/// Counters of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerCounts {
     /// Requests sent.
     pub requests: u64,
-    /// Requests done.
+    /// Requests with the outcome `done`.
     pub done: u64,
-    /// Requests told as not run.
+    /// Requests with the outcome `not-run`.
     pub not_run: u64,
-    /// Requests that may have run.
+    /// Requests with an unknown outcome: they may have run.
     pub unknown: u64,
-    /// Flows that were lost or could not be opened.
+    /// Flows that were lost or could not be opened, in total.
     pub flows_broken: u64,
-    /// Flows open now.
+    /// Flows that are open.
     pub flows: i64,
-    /// Feeds open now.
+    /// Feeds that are open.
     pub feeds: i64,
-    /// Requests that were wanted but not sent, because too many were waiting already.
+    /// Operations that were not started because too many were in progress.
     pub skipped: u64,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl CallerCounters {
-    pub(crate) fn note_outcome(&self, outcome: ObservedOutcome) {
+    pub(crate) fn record_outcome(&self, outcome: ObservedOutcome) {
         let counter = match outcome {
             ObservedOutcome::Done => &self.done,
             ObservedOutcome::NotRun => &self.not_run,
@@ -66,7 +66,7 @@
     }
 }
 
-/// What all callers of a run share.
+/// The plan, counters and history of a run, shared by all its callers.
 #[derive(Debug)]
 pub(crate) struct CallerContext {
     pub(crate) plan: CallerPlan,
@@ -74,8 +74,8 @@
     history: HistoryWriter,
     next_flow: AtomicU64,
     next_request: AtomicU64,
-    /// True once the run is over: feeds end, retries stop.
-    pub(crate) over: watch::Sender<bool>,
+    /// `true` once the planned time is over: feeds close and retries stop.
+    pub(crate) finished: watch::Sender<bool>,
 }
 
 impl CallerContext {
@@ -86,11 +86,12 @@
             history,
             next_flow: AtomicU64::new(1),
             next_request: AtomicU64::new(1),
-            over: watch::Sender::new(false),
+            finished: watch::Sender::new(false),
         })
     }
 
-    /// Writes a record. Without its history a run proves nothing, so the process ends.
+    /// Writes a record. An incomplete history cannot be checked, so a failed write ends the
+    /// process.
     pub(crate) fn write(&self, record: &CallerRecord) {
         if let Err(error) = self.history.append(record) {
             eprintln!("history not written: {error}");
@@ -107,12 +108,12 @@
         format!("r{:x}-{number}", self.plan.seed)
     }
 
-    pub(crate) fn is_over(&self) -> bool {
-        *self.over.borrow()
+    pub(crate) fn is_finished(&self) -> bool {
+        *self.finished.borrow()
     }
 }
 
-/// The wall clock of the history.
+/// Returns the current time of the history's clock, in milliseconds.
 pub(crate) fn now_ms() -> f64 {
     unix_millis()
 }
--- a/standins/callers/src/exchange.rs
+++ b/standins/callers/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer over a flow, with the answer checked.
+//! Sends one request over a flow and checks its response.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 
 use crate::context::{CallerContext, now_ms};
 use crate::flow::CallerFlow;
-use crate::judge::{broke_off, broken, judge, unanswered};
+use crate::response::{check_response, no_response, stream_failed, truncated};
 
-/// How much longer than the deadline a caller waits.
+/// How long a caller waits for the response after the deadline of its request.
 const DEADLINE_GRACE: Duration = Duration::from_secs(2);
 
-/// The largest answer that is taken, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Size limit of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// What the whole answer must be.
+/// The expected content of a complete response.
 #[derive(Clone, Debug)]
-pub(crate) enum AnswerCheck {
-    /// JSON that names this filing.
+pub(crate) enum ResponseCheck {
+    /// JSON with this name in `filing`.
     Filing(String),
-    /// JSON that names this id.
+    /// JSON with this name in `id`.
     Status(String),
-    /// The content of this id, of this length.
+    /// The generated content of this id, with this length in bytes.
     Download(String, usize),
-    /// Anything.
+    /// Any content.
     Any,
 }
 
@@ -41,10 +41,10 @@
     pub(crate) filing: Option<String>,
     pub(crate) work_ms: u32,
     pub(crate) arrived_ms: f64,
-    pub(crate) check: AnswerCheck,
+    pub(crate) check: ResponseCheck,
 }
 
-/// Whom a request is for.
+/// The service that a request is for, and the agency that sends it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExchangeScope<'a> {
     pub(crate) service: &'a str,
@@ -52,7 +52,7 @@
     pub(crate) agency: Option<&'a str>,
 }
 
-/// What came of a request.
+/// The result of a request, as far as the caller's next step depends on it.
 #[derive(Clone, Debug)]
 pub(crate) struct ExchangeResult {
     pub(crate) outcome: ObservedOutcome,
@@ -61,7 +61,7 @@
     pub(crate) ticket: Option<String>,
 }
 
-/// Sends a request over a flow and waits for its end; the history tells of both.
+/// Sends a request over a flow and waits for its end. Records both in the history.
 pub(crate) async fn exchange(
     context: &CallerContext,
     flow: &CallerFlow,
@@ -69,16 +69,16 @@
     request: &ExchangeRequest,
 ) -> ExchangeResult {
     let id = context.new_request_id();
-    note_sent(context, flow, scope, request, &id);
-    let _in_flight = flow.note_in_flight();
+    record_sent(context, flow, scope, request, &id);
+    let _in_flight = flow.track_in_flight();
     let deadline = Duration::from_millis(context.plan.deadline_ms);
-    let limit = deadline + DEADLINE_GRACE;
+    let timeout = deadline + DEADLINE_GRACE;
     let sent = send(flow, scope, request, &id, deadline);
-    let (end, result) = match tokio::time::timeout(limit, sent).await {
+    let (end, result) = match tokio::time::timeout(timeout, sent).await {
         Ok(ended) => ended,
-        Err(_) => unanswered(ObservedOutcome::Unknown, "no answer in time".to_owned()),
+        Err(_) => no_response(ObservedOutcome::Unknown, "no answer in time".to_owned()),
     };
-    context.counters.note_outcome(end.outcome);
+    context.counters.record_outcome(end.outcome);
     context.write(&CallerRecord::RequestEnded {
         request: id,
         time_ms: now_ms(),
@@ -87,7 +87,7 @@
     result
 }
 
-pub(crate) fn note_sent(
+pub(crate) fn record_sent(
     context: &CallerContext,
     flow: &CallerFlow,
     scope: ExchangeScope<'_>,
@@ -109,7 +109,7 @@
     });
 }
 
-pub(crate) fn head_of(
+pub(crate) fn build_head(
     scope: ExchangeScope<'_>,
     request: &ExchangeRequest,
     id: &str,
@@ -144,50 +144,51 @@
     id: &str,
     deadline: Duration,
 ) -> (RequestEnd, ExchangeResult) {
-    let head = match head_of(scope, request, id, Some(deadline)) {
+    let head = match build_head(scope, request, id, Some(deadline)) {
         Ok(head) => head,
-        Err(error) => return unanswered(ObservedOutcome::NotRun, error.to_string()),
+        Err(error) => return no_response(ObservedOutcome::NotRun, error.to_string()),
     };
     let mut stream = match flow.sender().send_request(head).await {
         Ok(stream) => stream,
         Err(StreamError::RemoteClosing { .. }) => {
             flow.retire();
-            let (end, mut result) = unanswered(ObservedOutcome::NotRun, "going away".to_owned());
+            let (end, mut result) = no_response(ObservedOutcome::NotRun, "going away".to_owned());
             result.retry_after = Some(Duration::ZERO);
             return (end, result);
         }
-        Err(error) => return broken(&error),
+        Err(error) => return stream_failed(&error),
     };
     if let Some(body) = &request.body
         && let Err(error) = stream.send_data(body.clone()).await
-        && !is_early_answer(&error)
+        && !is_early_response(&error)
     {
-        return broken(&error);
+        return stream_failed(&error);
     }
     if let Err(error) = stream.finish().await
-        && !is_early_answer(&error)
+        && !is_early_response(&error)
     {
-        return broken(&error);
+        return stream_failed(&error);
     }
-    let answer = match stream.recv_response().await {
-        Ok(answer) => answer,
-        Err(error) => return broken(&error),
+    let response = match stream.recv_response().await {
+        Ok(response) => response,
+        Err(error) => return stream_failed(&error),
     };
     let mut body = Vec::new();
     loop {
         match stream.recv_data().await {
-            Ok(Some(mut part)) => body.extend_from_slice(&part.copy_to_bytes(part.remaining())),
+            Ok(Some(mut chunk)) => body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining())),
             Ok(None) => break,
-            Err(error) => return broke_off(&answer, &error),
+            Err(error) => return truncated(&response, &error),
         }
-        if body.len() > MAX_ANSWER_BYTES {
-            return broke_off(&answer, &"answer too long");
+        if body.len() > MAX_RESPONSE_BYTES {
+            return truncated(&response, &"answer too long");
         }
     }
-    judge(&answer, &body, request, id, scope.service)
+    check_response(&response, &body, request, id, scope.service)
 }
 
-/// A server may answer and stop reading before it has the whole body; the answer counts.
-fn is_early_answer(error: &StreamError) -> bool {
+/// Whether the server responded and stopped reading before the end of the request body. Its
+/// response is still valid.
+fn is_early_response(error: &StreamError) -> bool {
     matches!(error, StreamError::RemoteTerminate { code, .. } if *code == h3::error::Code::H3_NO_ERROR)
 }
--- a/standins/callers/src/feed.rs
+++ b/standins/callers/src/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds that are held open over the whole run.
+//! Feeds that stay open for the whole run.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,25 +15,25 @@
 use thiserror::Error;
 
 use crate::context::{CallerContext, now_ms};
-use crate::exchange::{AnswerCheck, ExchangeRequest, ExchangeScope, head_of, note_sent};
+use crate::exchange::{ExchangeRequest, ExchangeScope, ResponseCheck, build_head, record_sent};
 use crate::flow::CallerFlow;
-use crate::judge::{outcome_of, retry_after, text};
 use crate::pool::AddressPool;
+use crate::response::{header_text, response_outcome, retry_after};
 
-/// A feed without an event for so long is given up.
-const SILENCE_LIMIT: Duration = Duration::from_secs(8);
+/// Time without an event after which a feed counts as broken.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Longest wait for the head of a feed's answer.
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of the response headers of a feed.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long after its start a feed that moves goes on from a new address.
-const MOVE_AFTER: Duration = Duration::from_millis(1_500);
+/// How long after its start a migrating feed changes its address.
+const MIGRATION_DELAY: Duration = Duration::from_millis(1_500);
 
-/// One feed in so many moves.
-pub(crate) const MOVING_ONE_IN: u32 = 4;
+/// Every n-th feed migrates to a new address while it is open.
+pub(crate) const FEEDS_PER_MIGRATION: u32 = 4;
 
-/// The wait before a feed is opened again.
-const REOPEN_WAIT: Duration = Duration::from_millis(300);
+/// Delay before a feed is reopened, unless the server asks for another.
+const REOPEN_DELAY: Duration = Duration::from_millis(300);
 
 type FeedStream = RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
 
@@ -51,84 +51,93 @@
     Stream(#[from] StreamError),
 }
 
-/// Why a feed's stream ended.
-enum FeedStop {
+/// Why the stream of a feed ended.
+enum FeedEnd {
     /// The run is over.
-    Over,
-    /// Something broke.
+    Finished,
+    /// The stream failed, ended or stayed silent, with the reason.
     Broken(String),
 }
 
-/// Holds one feed open until the run is over; opens it again when it breaks. A feed that
-/// `moves` changes its address while it is open.
-pub(crate) async fn hold_feed(context: Arc<CallerContext>, pool: Arc<AddressPool>, moves: bool) {
-    while !context.is_over() {
-        let Some(flow) = pool.fresh_flow(&context).await else {
-            tokio::time::sleep(REOPEN_WAIT).await;
+/// Keeps one feed open until the run is over, and reopens it when it breaks. A feed that `migrates`
+/// changes its address while it is open.
+pub(crate) async fn hold_feed(context: Arc<CallerContext>, pool: Arc<AddressPool>, migrates: bool) {
+    while !context.is_finished() {
+        let Some(flow) = pool.new_flow(&context).await else {
+            tokio::time::sleep(REOPEN_DELAY).await;
             continue;
         };
-        let moved = async {
-            if moves {
-                tokio::time::sleep(MOVE_AFTER).await;
-                if let Err(error) = flow.move_address() {
+        let migration = async {
+            if migrates {
+                tokio::time::sleep(MIGRATION_DELAY).await;
+                if let Err(error) = flow.migrate() {
                     eprintln!("flow {} not moved: {error}", flow.number);
                 }
             }
             std::future::pending::<()>().await;
         };
-        let wait = tokio::select! {
-            wait = hold_over(&context, &pool, &flow) => wait,
-            () = moved => None,
+        let delay = tokio::select! {
+            delay = hold_on_flow(&context, &pool, &flow) => delay,
+            () = migration => None,
         };
-        if !context.is_over() {
-            tokio::time::sleep(wait.unwrap_or(REOPEN_WAIT)).await;
+        if !context.is_finished() {
+            tokio::time::sleep(delay.unwrap_or(REOPEN_DELAY)).await;
         }
     }
 }
 
-/// Holds a feed over one flow; returns how long to wait before the next try, if asked to.
-async fn hold_over(
+/// Keeps a feed open over one flow. Returns the delay before the next attempt if the server asked
+/// for one.
+async fn hold_on_flow(
     context: &Arc<CallerContext>,
     pool: &AddressPool,
     flow: &CallerFlow,
 ) -> Option<Duration> {
     let scope = ExchangeScope {
-        service: &pool.target.service,
-        server_name: &pool.target.server_name,
+        service: &pool.destination.service,
+        server_name: &pool.destination.server_name,
         agency: pool.agency.as_deref(),
     };
     let request = feed_request();
     let id = context.new_request_id();
-    note_sent(context, flow, scope, &request, &id);
-    let _in_flight = flow.note_in_flight();
-    let opened = tokio::time::timeout(HEAD_LIMIT, open(flow, scope, &request, &id)).await;
-    let (mut end, stream, wait) = match opened {
+    record_sent(context, flow, scope, &request, &id);
+    let _in_flight = flow.track_in_flight();
+    let opened = tokio::time::timeout(HEAD_TIMEOUT, open_feed(flow, scope, &request, &id)).await;
+    let (mut end, stream, delay) = match opened {
         Ok(Ok(opened)) => opened,
         Ok(Err(error)) => {
             let reason = error.to_string();
-            (feed_end(ObservedOutcome::Unknown, Some(reason)), None, None)
+            (
+                request_end(ObservedOutcome::Unknown, Some(reason)),
+                None,
+                None,
+            )
         }
         Err(_) => {
             let reason = "no head in time".to_owned();
-            (feed_end(ObservedOutcome::Unknown, Some(reason)), None, None)
+            (
+                request_end(ObservedOutcome::Unknown, Some(reason)),
+                None,
+                None,
+            )
         }
     };
     if let Some(mut stream) = stream {
         context.counters.feeds.fetch_add(1, Ordering::Relaxed);
-        let stop = read_feed(context, &mut stream, &id).await;
+        let feed_end = read_feed(context, &mut stream, &id).await;
         context.counters.feeds.fetch_sub(1, Ordering::Relaxed);
-        if let FeedStop::Broken(reason) = stop {
-            flow.note_broken(&reason);
+        if let FeedEnd::Broken(reason) = feed_end {
+            flow.record_broken(&reason);
             end.reason = Some(reason);
         }
     }
-    context.counters.note_outcome(end.outcome);
+    context.counters.record_outcome(end.outcome);
     context.write(&CallerRecord::RequestEnded {
         request: id,
         time_ms: now_ms(),
         end,
     });
-    wait
+    delay
 }
 
 fn feed_request() -> ExchangeRequest {
@@ -141,11 +150,11 @@
         filing: None,
         work_ms: 0,
         arrived_ms: now_ms(),
-        check: AnswerCheck::Any,
+        check: ResponseCheck::Any,
     }
 }
 
-fn feed_end(outcome: ObservedOutcome, reason: Option<String>) -> RequestEnd {
+fn request_end(outcome: ObservedOutcome, reason: Option<String>) -> RequestEnd {
     RequestEnd {
         outcome,
         status: 0,
@@ -158,51 +167,56 @@
 
 type OpenedFeed = (RequestEnd, Option<FeedStream>, Option<Duration>);
 
-async fn open(
+async fn open_feed(
     flow: &CallerFlow,
     scope: ExchangeScope<'_>,
     request: &ExchangeRequest,
     id: &str,
 ) -> Result<OpenedFeed, FeedError> {
-    let head = head_of(scope, request, id, None)?;
+    let head = build_head(scope, request, id, None)?;
     let mut sender = flow.sender();
     let sent = sender.send_request(head).await;
     let mut stream = match sent {
         Ok(stream) => stream,
         Err(StreamError::RemoteClosing { .. }) => {
             let reason = "going away".to_owned();
-            return Ok((feed_end(ObservedOutcome::NotRun, Some(reason)), None, None));
+            return Ok((
+                request_end(ObservedOutcome::NotRun, Some(reason)),
+                None,
+                None,
+            ));
         }
         Err(error) => return Err(error.into()),
     };
     stream.finish().await?;
-    let answer = stream.recv_response().await?;
-    let headers = answer.headers();
-    let mut end = feed_end(outcome_of(&answer), None);
-    end.status = answer.status().as_u16();
-    end.agent = text(headers, "lovagelatch-agent");
-    end.answered_for = text(headers, "lovagelatch-caller-request").filter(|other| other != id);
-    let wait = retry_after(headers);
-    let accepted = answer.status().is_success();
-    Ok((end, accepted.then_some(stream), wait))
+    let response = stream.recv_response().await?;
+    let headers = response.headers();
+    let mut end = request_end(response_outcome(&response), None);
+    end.status = response.status().as_u16();
+    end.agent = header_text(headers, "lovagelatch-agent");
+    end.answered_for =
+        header_text(headers, "lovagelatch-caller-request").filter(|other| other != id);
+    let delay = retry_after(headers);
+    let accepted = response.status().is_success();
+    Ok((end, accepted.then_some(stream), delay))
 }
 
-async fn read_feed(context: &CallerContext, stream: &mut FeedStream, id: &str) -> FeedStop {
-    let mut over = context.over.subscribe();
+async fn read_feed(context: &CallerContext, stream: &mut FeedStream, id: &str) -> FeedEnd {
+    let mut finished = context.finished.subscribe();
     let mut events = EventReader::default();
     loop {
-        let part = tokio::select! {
-            _ = over.wait_for(|over| *over) => return FeedStop::Over,
-            part = tokio::time::timeout(SILENCE_LIMIT, stream.recv_data()) => part,
+        let chunk = tokio::select! {
+            _ = finished.wait_for(|finished| *finished) => return FeedEnd::Finished,
+            chunk = tokio::time::timeout(SILENCE_TIMEOUT, stream.recv_data()) => chunk,
         };
-        let mut part = match part {
-            Ok(Ok(Some(part))) => part,
-            Ok(Ok(None)) => return FeedStop::Broken("feed ended".to_owned()),
-            Ok(Err(error)) => return FeedStop::Broken(error.to_string()),
-            Err(_) => return FeedStop::Broken("feed silent".to_owned()),
+        let mut chunk = match chunk {
+            Ok(Ok(Some(chunk))) => chunk,
+            Ok(Ok(None)) => return FeedEnd::Broken("feed ended".to_owned()),
+            Ok(Err(error)) => return FeedEnd::Broken(error.to_string()),
+            Err(_) => return FeedEnd::Broken("feed silent".to_owned()),
         };
-        let bytes = part.copy_to_bytes(part.remaining());
-        for flaw in events.take(&bytes, id) {
+        let bytes = chunk.copy_to_bytes(chunk.remaining());
+        for flaw in events.push(&bytes, id) {
             context.write(&CallerRecord::FeedFlawed {
                 request: id.to_owned(),
                 time_ms: now_ms(),
@@ -212,7 +226,7 @@
     }
 }
 
-/// Puts events together from the parts of a body and checks them.
+/// Assembles events from the chunks of a body and checks them.
 #[derive(Default)]
 struct EventReader {
     order: FeedOrder,
@@ -220,18 +234,19 @@
 }
 
 impl EventReader {
-    fn take(&mut self, bytes: &[u8], id: &str) -> Vec<FeedFlaw> {
+    /// Appends a chunk and returns the flaws of the events that it completes.
+    fn push(&mut self, bytes: &[u8], id: &str) -> Vec<FeedFlaw> {
         self.pending.extend_from_slice(bytes);
         let mut flaws = Vec::new();
         while let Some(end) = self.pending.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = self.pending.drain(..end + 2).collect();
             let event = String::from_utf8_lossy(&event);
-            flaws.extend(self.check(&event, id));
+            flaws.extend(self.check_event(&event, id));
         }
         flaws
     }
 
-    fn check(&mut self, event: &str, id: &str) -> Option<FeedFlaw> {
+    fn check_event(&mut self, event: &str, id: &str) -> Option<FeedFlaw> {
         let field = |name: &str| {
             let line = event.lines().find(|line| line.starts_with(name))?;
             Some(line[name.len()..].trim())
--- a/standins/callers/src/flow.rs
+++ b/standins/callers/src/flow.rs
@@ -1,4 +1,4 @@
-//! One flow: a QUIC connection from a socket of its own.
+//! One flow: a QUIC connection with its own UDP socket.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -15,10 +15,10 @@
 
 use crate::context::{CallerContext, now_ms};
 
-/// Longest that opening a flow may take.
-const OPEN_LIMIT: Duration = Duration::from_secs(6);
+/// Timeout of the QUIC handshake of a flow.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// HTTP/3's code for a close without error (RFC 9114, section 8.1).
+/// The HTTP/3 code of a close without error (RFC 9114, section 8.1).
 const H3_NO_ERROR: VarInt = VarInt::from_u32(0x100);
 
 /// Why a flow could not be opened.
@@ -36,57 +36,57 @@
     Timeout,
 }
 
-/// Where a flow goes.
+/// Service address and client configuration of a flow.
 #[derive(Clone, Debug)]
-pub(crate) struct FlowTarget {
+pub(crate) struct FlowDestination {
     pub(crate) service: String,
     pub(crate) server_name: String,
     pub(crate) address: SocketAddrV4,
     pub(crate) client: quinn::ClientConfig,
 }
 
-/// A flow that was opened. It is closed when the last user lets go of it.
+/// An open flow. Dropping the last reference closes the connection.
 pub(crate) struct CallerFlow {
     pub(crate) number: u64,
     connection: quinn::Connection,
     endpoint: quinn::Endpoint,
-    /// Invariant: kept until the flow closes, for its last clone closes the connection.
+    /// Invariant: kept until the flow closes, because dropping the last clone closes the connection.
     sender: SendRequest<OpenStreams, Bytes>,
     in_flight: AtomicUsize,
     retired: AtomicBool,
     lost: AtomicBool,
-    /// Whether it was told as broken already.
-    told_broken: AtomicBool,
+    /// Whether the end of the flow is already in the history.
+    end_recorded: AtomicBool,
     context: Arc<CallerContext>,
 }
 
-/// Counts a request in flight on a flow.
-pub(crate) struct InFlight<'a>(&'a CallerFlow);
+/// Counts a request as in flight on a flow until it is dropped.
+pub(crate) struct InFlightGuard<'a>(&'a CallerFlow);
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl CallerFlow {
-    /// Opens a flow from a new socket; `None` when that failed, which the history says.
+    /// Opens a flow from a new socket. Returns `None` on failure, which the history records.
     pub(crate) async fn open(
         context: &Arc<CallerContext>,
-        target: &FlowTarget,
+        destination: &FlowDestination,
     ) -> Option<Arc<Self>> {
         let number = context.new_flow_number();
         context.write(&CallerRecord::FlowOpening {
             flow: number,
             time_ms: now_ms(),
-            service: target.service.clone(),
-            address: target.address.to_string(),
+            service: destination.service.clone(),
+            address: destination.address.to_string(),
         });
-        match Self::try_open(context, target, number).await {
+        match Self::try_open(context, destination, number).await {
             Ok(flow) => Some(flow),
             Err(error) => {
                 let reason = error.to_string();
-                note_end(context, number, FlowEnd::Unopened { reason });
+                record_end(context, number, FlowEnd::Unopened { reason });
                 None
             }
         }
@@ -94,10 +94,10 @@
 
     async fn try_open(
         context: &Arc<CallerContext>,
-        target: &FlowTarget,
+        destination: &FlowDestination,
         number: u64,
     ) -> Result<Arc<Self>, OpenError> {
-        let connected = tokio::time::timeout(OPEN_LIMIT, connect(target)).await;
+        let connected = tokio::time::timeout(OPEN_TIMEOUT, connect(destination)).await;
         let connected = connected.map_err(|_| OpenError::Timeout)??;
         Self::start(context, number, connected).await
     }
@@ -118,7 +118,7 @@
             in_flight: AtomicUsize::new(0),
             retired: AtomicBool::new(false),
             lost: AtomicBool::new(false),
-            told_broken: AtomicBool::new(false),
+            end_recorded: AtomicBool::new(false),
             context: Arc::clone(context),
         });
         tokio::spawn(async move { driver.wait_idle().await });
@@ -128,19 +128,19 @@
             let closed = connection.closed().await;
             context.counters.flows.fetch_sub(1, Ordering::Relaxed);
             match watched.upgrade() {
-                Some(flow) => flow.note_closed(&closed),
-                None => note_end(&context, number, end_of(&closed, 0)),
+                Some(flow) => flow.record_closed(&closed),
+                None => record_end(&context, number, flow_end(&closed, 0)),
             }
         });
         Ok(flow)
     }
 
-    /// Whether new requests may go over it.
+    /// Whether new requests may use the flow.
     pub(crate) fn is_usable(&self) -> bool {
         !self.retired.load(Ordering::Acquire) && !self.lost.load(Ordering::Acquire)
     }
 
-    /// No new request goes over it any more: the other side said that it goes away.
+    /// Excludes the flow from new requests, after the server has announced that it is closing it.
     pub(crate) fn retire(&self) {
         self.retired.store(true, Ordering::Release);
     }
@@ -149,32 +149,32 @@
         self.sender.clone()
     }
 
-    pub(crate) fn note_in_flight(&self) -> InFlight<'_> {
+    pub(crate) fn track_in_flight(&self) -> InFlightGuard<'_> {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
-        InFlight(self)
+        InFlightGuard(self)
     }
 
-    /// Goes on from a new address, as a phone does that changes networks.
-    pub(crate) fn move_address(&self) -> io::Result<()> {
+    /// Migrates the connection to a new local address, as a phone does when it changes networks.
+    pub(crate) fn migrate(&self) -> io::Result<()> {
         let socket = std::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         self.endpoint.rebind(socket)
     }
 
-    fn note_closed(&self, closed: &ConnectionError) {
+    fn record_closed(&self, closed: &ConnectionError) {
         self.lost.store(true, Ordering::Release);
-        let end = end_of(closed, self.in_flight.load(Ordering::Acquire));
-        if !self.told_broken.swap(true, Ordering::AcqRel) {
-            note_end(&self.context, self.number, end);
+        let end = flow_end(closed, self.in_flight.load(Ordering::Acquire));
+        if !self.end_recorded.swap(true, Ordering::AcqRel) {
+            record_end(&self.context, self.number, end);
         }
     }
 
-    /// Says that the flow broke in a way that the connection itself may not show.
-    pub(crate) fn note_broken(&self, reason: &str) {
-        if self.told_broken.swap(true, Ordering::AcqRel) {
+    /// Records that the flow broke in a way that the QUIC connection may not detect.
+    pub(crate) fn record_broken(&self, reason: &str) {
+        if self.end_recorded.swap(true, Ordering::AcqRel) {
             return;
         }
         let reason = reason.to_owned();
-        note_end(&self.context, self.number, FlowEnd::Broken { reason });
+        record_end(&self.context, self.number, FlowEnd::Broken { reason });
     }
 }
 
@@ -184,19 +184,21 @@
     }
 }
 
-async fn connect(target: &FlowTarget) -> Result<(quinn::Endpoint, quinn::Connection), OpenError> {
+async fn connect(
+    destination: &FlowDestination,
+) -> Result<(quinn::Endpoint, quinn::Connection), OpenError> {
     let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let endpoint = quinn::Endpoint::client(any_port)?;
     let connecting = endpoint.connect_with(
-        target.client.clone(),
-        SocketAddr::V4(target.address),
-        &target.server_name,
+        destination.client.clone(),
+        SocketAddr::V4(destination.address),
+        &destination.server_name,
     )?;
     let connection = connecting.await?;
     Ok((endpoint, connection))
 }
 
-fn end_of(closed: &ConnectionError, in_flight: usize) -> FlowEnd {
+fn flow_end(closed: &ConnectionError, in_flight: usize) -> FlowEnd {
     match closed {
         ConnectionError::LocallyClosed => FlowEnd::Closed,
         ConnectionError::ApplicationClosed(close)
@@ -210,7 +212,7 @@
     }
 }
 
-fn note_end(context: &CallerContext, flow: u64, end: FlowEnd) {
+fn record_end(context: &CallerContext, flow: u64, end: FlowEnd) {
     if matches!(end, FlowEnd::Broken { .. } | FlowEnd::Unopened { .. }) {
         context
             .counters
--- a/standins/callers/src/lib.rs
+++ b/standins/callers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Callers, for tests: ordinary HTTP/3 clients that ask for short requests at a given rate,
-//! hold feeds open, and write down what they saw.
+//! Callers, for tests: ordinary HTTP/3 clients that send short requests at a given rate, hold feeds
+//! open and record what they observe in a history.
 //!
 //! ```text
 //! arrivals (open loop) --> operation --> exchange --> flow (quinn + h3) --> service address
@@ -8,8 +8,9 @@
 //! feeds ---- one flow each, held --------------> history
 //! ```
 //!
-//! Arrivals do not wait for answers, and a retry counts from when its request was first
-//! wanted, so a slow system cannot hide behind callers that ask less of it.
+//! Arrivals do not wait for responses, and the time of a retry counts from the arrival of its
+//! operation. A slow system therefore cannot hide its latency by slowing down its callers
+//! (coordinated omission).
 
 mod arrivals;
 mod client;
@@ -17,10 +18,10 @@
 mod exchange;
 mod feed;
 mod flow;
-mod judge;
 mod operation;
 mod plan;
 mod pool;
+mod response;
 mod run;
 
 pub use client::ClientError;
--- a/standins/callers/src/main.rs
+++ b/standins/callers/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the callers.
+//! `lovagelatch-callers`: runs the callers of a plan.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,13 +8,13 @@
 use thiserror::Error;
 
 /// Exit code for a plan that could not be read.
-const BAD_PLAN: u8 = 2;
+const INVALID_PLAN: u8 = 2;
 
-/// Callers for tests: HTTP/3 clients that ask, hold feeds and write down what they saw
+/// Callers for tests: HTTP/3 clients that send requests, hold feeds and record what they observe
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct CommandLine {
-    /// What to do, as JSON
+    /// The plan of the run, as JSON
     #[bpaf(argument("FILE"))]
     plan: PathBuf,
 }
@@ -39,12 +39,12 @@
         Ok(plan) => plan,
         Err(error) => {
             eprintln!("{}: {error}", path.display());
-            return ExitCode::from(BAD_PLAN);
+            return ExitCode::from(INVALID_PLAN);
         }
     };
-    match run_callers(plan, tell).await {
+    match run_callers(plan, report).await {
         Ok(counts) => {
-            tell(&counts);
+            report(&counts);
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Prints counts as one JSON line.
-fn tell(counts: &CallerCounts) {
+/// Prints the counters as one JSON line.
+fn report(counts: &CallerCounts) {
     if let Ok(line) = serde_json::to_string(counts) {
         println!("{line}");
     }
--- a/standins/callers/src/operation.rs
+++ b/standins/callers/src/operation.rs
@@ -1,7 +1,8 @@
-//! One thing a caller wants, with its retries.
+//! One operation of a caller, with its retries.
 //!
-//! A caller told `not-run` waits as long as it was asked to and tries again. One that does not
-//! know leaves it at that, but for a filing, which it may try again with the same ticket.
+//! After the outcome `not-run` a caller waits as long as the response asks for and retries. After an
+//! unknown outcome it gives up, except for a filing with a ticket, which it retries with the same
+//! ticket.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,50 +15,56 @@
 use serde_json::json;
 
 use crate::context::CallerContext;
-use crate::exchange::{AnswerCheck, ExchangeRequest, ExchangeResult, ExchangeScope, exchange};
+use crate::exchange::{ExchangeRequest, ExchangeResult, ExchangeScope, ResponseCheck, exchange};
 use crate::flow::CallerFlow;
 use crate::plan::ServicePlan;
 use crate::pool::AddressPool;
 
-/// Attempts at one thing wanted.
+/// Limit of attempts per operation.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Longest wait before a retry, and the wait when the answer names none.
-const MAX_WAIT: Duration = Duration::from_secs(5);
-const DEFAULT_WAIT: Duration = Duration::from_millis(250);
+/// Upper limit of the delay before a retry.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// The shares of filings that are tried over several flows at once, and sent without a ticket.
+/// Delay before a retry if the response does not specify one.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(250);
+
+/// Share of filings that are sent over several flows at once.
 const CONCURRENT_SHARE: f64 = 0.1;
+
+/// Share of filings that are first sent without a ticket.
 const WITHOUT_TICKET_SHARE: f64 = 0.05;
 
-/// The share of statuses that need the service's dependency.
+/// Share of status requests that cause a call to the service's dependency.
 const DEPENDENT_SHARE: f64 = 0.1;
 
-/// Flows of a filing that is tried over several at once.
+/// Number of flows of a concurrent filing.
 const CONCURRENT_FLOWS: usize = 3;
 
-/// Path of a ticket on any service address.
+/// Path that issues a ticket, on every service address.
 const TICKET_PATH: &str = "/.well-known/lovagelatch/ticket";
 
-/// Status of an answer that asks for a ticket (RFC 6585).
+/// Status of a response that asks for a ticket (RFC 6585).
 const PRECONDITION_REQUIRED: u16 = 428;
 
-/// Sizes of downloads, in bytes.
+/// Range of the sizes of downloads.
 const DOWNLOAD_BYTES: std::ops::Range<usize> = 1_000..120_000;
 
-/// Longest work of a request, as a multiple of the mean.
+/// Upper limit of the work of a request, as a multiple of the mean.
 const MAX_WORK_FACTOR: f64 = 8.0;
 
-/// A thing wanted from one address of a service.
+/// An operation on one address of a service.
 pub(crate) struct CallerOperation {
     pub(crate) context: Arc<CallerContext>,
     pub(crate) pool: Arc<AddressPool>,
     pub(crate) request: ExchangeRequest,
+    /// Whether the filing is sent over several flows at once, if it has a ticket.
     pub(crate) concurrent: bool,
+    /// Whether a filing gets a ticket before its first attempt.
     pub(crate) with_ticket: bool,
 }
 
-/// Draws what is wanted next from a service.
+/// Draws the next request to a service.
 pub(crate) fn draw_request(
     service: &ServicePlan,
     mean_work_ms: f64,
@@ -80,7 +87,7 @@
             filing: Some(name.clone()),
             work_ms,
             arrived_ms,
-            check: AnswerCheck::Filing(name),
+            check: ResponseCheck::Filing(name),
         };
     }
     let status = service.status && (service.download.is_none() || draw < 0.6);
@@ -91,14 +98,14 @@
             (
                 RequestKind::Download,
                 path,
-                AnswerCheck::Download(name, bytes),
+                ResponseCheck::Download(name, bytes),
             )
         }
         _ => {
-            let needs = service.depends && random.random_bool(DEPENDENT_SHARE);
-            let fetch = if needs { "&fetch=1" } else { "" };
+            let needs_dependency = service.depends && random.random_bool(DEPENDENT_SHARE);
+            let fetch = if needs_dependency { "&fetch=1" } else { "" };
             let path = format!("/status/{name}?work_ms={work_ms}{fetch}");
-            (RequestKind::Status, path, AnswerCheck::Status(name))
+            (RequestKind::Status, path, ResponseCheck::Status(name))
         }
     };
     ExchangeRequest {
@@ -114,18 +121,18 @@
     }
 }
 
-/// Whether a filing is tried over several flows at once.
+/// Draws whether a filing is sent over several flows at once.
 pub(crate) fn draw_concurrent(random: &mut StdRng) -> bool {
     random.random_bool(CONCURRENT_SHARE)
 }
 
-/// Whether a filing is sent with a ticket at first.
+/// Draws whether a filing gets a ticket before its first attempt.
 pub(crate) fn draw_with_ticket(random: &mut StdRng) -> bool {
     !random.random_bool(WITHOUT_TICKET_SHARE)
 }
 
 impl CallerOperation {
-    /// Tries until it is done, hopeless or over.
+    /// Runs the operation until it succeeds, must not be retried or the run is over.
     pub(crate) async fn run(mut self) {
         if self.request.kind == RequestKind::Filing && self.with_ticket {
             self.request.ticket = self.obtain_ticket().await;
@@ -143,11 +150,11 @@
         futures::future::join_all(attempts).await;
     }
 
-    async fn run_attempts(&self, mut request: ExchangeRequest, mut fresh: bool) {
+    async fn run_attempts(&self, mut request: ExchangeRequest, mut on_new_flow: bool) {
         let mut may_have_run = false;
         for _ in 0..MAX_ATTEMPTS {
-            let Some(result) = self.attempt(&request, fresh).await else {
-                fresh = true;
+            let Some(result) = self.attempt(&request, on_new_flow).await else {
+                on_new_flow = true;
                 continue;
             };
             match result.outcome {
@@ -156,9 +163,9 @@
                 ObservedOutcome::Unknown if request.ticket.is_some() => may_have_run = true,
                 ObservedOutcome::Unknown => return,
             }
-            fresh = result.outcome == ObservedOutcome::Unknown;
+            on_new_flow = result.outcome == ObservedOutcome::Unknown;
             if result.status == PRECONDITION_REQUIRED {
-                // A new ticket is a new filing to the system, so it is only taken when no
+                // The system treats a new ticket as a new filing, so the caller uses it only if no
                 // earlier attempt may have run.
                 if may_have_run || self.concurrent || result.ticket.is_none() {
                     return;
@@ -166,35 +173,43 @@
                 request.ticket = result.ticket;
                 continue;
             }
-            if !self.wait(&result).await {
+            if !self.wait_for_retry(&result).await {
                 return;
             }
         }
     }
 
-    /// Waits as long as the answer asks; false when the run is over.
-    async fn wait(&self, result: &ExchangeResult) -> bool {
-        let wait = result.retry_after.unwrap_or(DEFAULT_WAIT).min(MAX_WAIT);
+    /// Waits as long as the response asks for, with up to 20 % of jitter. Returns `false` if the run
+    /// is over.
+    async fn wait_for_retry(&self, result: &ExchangeResult) -> bool {
+        let delay = result
+            .retry_after
+            .unwrap_or(DEFAULT_RETRY_DELAY)
+            .min(MAX_RETRY_DELAY);
         let jitter = rand::rng().random_range(1.0..1.2);
-        tokio::time::sleep(wait.mul_f64(jitter)).await;
-        !self.context.is_over()
+        tokio::time::sleep(delay.mul_f64(jitter)).await;
+        !self.context.is_finished()
     }
 
-    async fn attempt(&self, request: &ExchangeRequest, fresh: bool) -> Option<ExchangeResult> {
-        let flow = self.flow(fresh).await?;
+    async fn attempt(
+        &self,
+        request: &ExchangeRequest,
+        on_new_flow: bool,
+    ) -> Option<ExchangeResult> {
+        let flow = self.flow(on_new_flow).await?;
         let result = exchange(&self.context, &flow, self.scope(), request).await;
-        if self.keeps_tickets()
+        if self.uses_tickets()
             && result.status != PRECONDITION_REQUIRED
             && let Some(ticket) = &result.ticket
         {
-            self.pool.keep_ticket(ticket.clone());
+            self.pool.store_ticket(ticket.clone());
         }
         Some(result)
     }
 
-    async fn flow(&self, fresh: bool) -> Option<Arc<CallerFlow>> {
-        if fresh {
-            self.pool.fresh_flow(&self.context).await
+    async fn flow(&self, on_new_flow: bool) -> Option<Arc<CallerFlow>> {
+        if on_new_flow {
+            self.pool.new_flow(&self.context).await
         } else {
             self.pool.flow(&self.context).await
         }
@@ -202,18 +217,18 @@
 
     fn scope(&self) -> ExchangeScope<'_> {
         ExchangeScope {
-            service: &self.pool.target.service,
-            server_name: &self.pool.target.server_name,
+            service: &self.pool.destination.service,
+            server_name: &self.pool.destination.server_name,
             agency: self.pool.agency.as_deref(),
         }
     }
 
-    fn keeps_tickets(&self) -> bool {
+    fn uses_tickets(&self) -> bool {
         let services = &self.context.plan.services;
-        let own = |service: &&ServicePlan| service.name == self.pool.target.service;
+        let is_addressed = |service: &&ServicePlan| service.name == self.pool.destination.service;
         services
             .iter()
-            .find(own)
+            .find(is_addressed)
             .is_some_and(|service| service.filing.is_some())
     }
 
@@ -230,7 +245,7 @@
             filing: None,
             work_ms: 0,
             arrived_ms: self.request.arrived_ms,
-            check: AnswerCheck::Any,
+            check: ResponseCheck::Any,
         };
         let flow = self.flow(false).await?;
         let result = exchange(&self.context, &flow, self.scope(), &request).await;
--- a/standins/callers/src/plan.rs
+++ b/standins/callers/src/plan.rs
@@ -1,4 +1,4 @@
-//! What callers are to do.
+//! The plan of a run.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -8,56 +8,56 @@
 /// One address of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AddressPlan {
-    /// Where callers send.
+    /// The service address that callers send to.
     pub address: SocketAddrV4,
-    /// The agency whose callers use it.
+    /// The agency whose callers use the address.
     pub agency: Option<String>,
-    /// Its share of the service's arrivals, relative to the other addresses.
+    /// Share of the service's arrivals, relative to its other addresses.
     pub weight: f64,
 }
 
-/// What callers do with one service.
+/// The load on one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// The name in its certificate.
+    /// Server name that its certificate must have.
     pub server_name: String,
-    /// The certificate file of the authority that signed it, PEM.
+    /// PEM file with the certificate of the authority that signed it.
     pub ca: PathBuf,
-    /// Its addresses. Invariant: at least one.
+    /// Addresses of the service. Invariant: at least one.
     pub addresses: Vec<AddressPlan>,
-    /// Its share of all arrivals.
+    /// Share of all arrivals, relative to the other services.
     pub share: f64,
-    /// Whether statuses are read.
+    /// Whether callers send status requests.
     pub status: bool,
-    /// Whether some statuses need the service's dependency.
+    /// Whether some status requests cause a call to the service's dependency.
     pub depends: bool,
-    /// The path under which downloads are, if there are any.
+    /// Path prefix of downloads; `None` for no downloads.
     pub download: Option<String>,
-    /// The path that filings go to, if there are any.
+    /// Path of filings; `None` for no filings.
     pub filing: Option<String>,
-    /// Whether feeds are held.
+    /// Whether callers hold feeds open.
     pub feed: bool,
 }
 
-/// What callers do in a run.
+/// The load of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerPlan {
-    /// Where the randomness of arrivals starts.
+    /// Seed of the random arrivals.
     pub seed: u64,
-    /// How long requests arrive, in seconds.
+    /// Duration of arrivals, in seconds.
     pub seconds: f64,
-    /// Requests wanted a second.
+    /// Mean rate of arrivals, in operations per second.
     pub rate: f64,
-    /// Feeds held open over the whole run.
+    /// Number of feeds held open during the whole run.
     pub feeds: u32,
-    /// Mean time that a request holds a slot, in milliseconds.
+    /// Mean time for which a request holds a slot, in milliseconds.
     pub mean_work_ms: f64,
-    /// How long a caller waits for an answer, in milliseconds.
+    /// Deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// The services.
+    /// Services that callers use.
     pub services: Vec<ServicePlan>,
-    /// Where the history goes.
+    /// File that the history is written to.
     pub history: PathBuf,
 }
--- a/standins/callers/src/pool.rs
+++ b/standins/callers/src/pool.rs
@@ -1,4 +1,4 @@
-//! Flows that are used again, and tickets handed out ahead of use, for each address.
+//! Pools of reusable flows and of unused tickets, one for each service address.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use rand::seq::IndexedRandom;
 
 use crate::context::CallerContext;
-use crate::flow::{CallerFlow, FlowTarget};
+use crate::flow::{CallerFlow, FlowDestination};
 use crate::plan::AddressPlan;
 
-/// Flows that are kept open to one address.
-const KEPT_FLOWS: usize = 4;
+/// Number of pooled flows per address.
+const POOLED_FLOWS: usize = 4;
 
-/// The share of operations that open a flow of their own.
-const FRESH_SHARE: f64 = 0.1;
+/// Share of attempts that open a new flow although the pool has one.
+const NEW_FLOW_SHARE: f64 = 0.1;
 
-/// Tickets that are kept for one address.
-const KEPT_TICKETS: usize = 32;
+/// Limit of pooled tickets per address.
+const MAX_POOLED_TICKETS: usize = 32;
 
-/// Flows and tickets of one address.
+/// The flows and tickets of one address.
 pub(crate) struct AddressPool {
-    pub(crate) target: FlowTarget,
+    pub(crate) destination: FlowDestination,
     pub(crate) agency: Option<String>,
     pub(crate) weight: f64,
     flows: Mutex<Vec<Arc<CallerFlow>>>,
@@ -29,9 +29,9 @@
 }
 
 impl AddressPool {
-    pub(crate) fn new(target: FlowTarget, address: &AddressPlan) -> Self {
+    pub(crate) fn new(destination: FlowDestination, address: &AddressPlan) -> Self {
         Self {
-            target,
+            destination,
             agency: address.agency.clone(),
             weight: address.weight,
             flows: Mutex::default(),
@@ -39,38 +39,38 @@
         }
     }
 
-    /// A kept flow, or now and then a fresh one; `None` when none could be opened.
+    /// Returns a pooled flow or sometimes a new one. Returns `None` if no flow could be opened.
     pub(crate) async fn flow(&self, context: &Arc<CallerContext>) -> Option<Arc<CallerFlow>> {
-        if rand::rng().random_bool(FRESH_SHARE) {
-            return self.fresh_flow(context).await;
+        if rand::rng().random_bool(NEW_FLOW_SHARE) {
+            return self.new_flow(context).await;
         }
-        if let Some(flow) = self.kept_flow() {
+        if let Some(flow) = self.pooled_flow() {
             return Some(flow);
         }
-        let flow = self.fresh_flow(context).await?;
+        let flow = self.new_flow(context).await?;
         let mut flows = self.flows.lock();
-        if flows.len() < KEPT_FLOWS {
+        if flows.len() < POOLED_FLOWS {
             flows.push(Arc::clone(&flow));
         }
         Some(flow)
     }
 
-    pub(crate) async fn fresh_flow(&self, context: &Arc<CallerContext>) -> Option<Arc<CallerFlow>> {
-        CallerFlow::open(context, &self.target).await
+    pub(crate) async fn new_flow(&self, context: &Arc<CallerContext>) -> Option<Arc<CallerFlow>> {
+        CallerFlow::open(context, &self.destination).await
     }
 
-    fn kept_flow(&self) -> Option<Arc<CallerFlow>> {
+    fn pooled_flow(&self) -> Option<Arc<CallerFlow>> {
         let mut flows = self.flows.lock();
         flows.retain(|flow| flow.is_usable());
-        if flows.len() < KEPT_FLOWS {
+        if flows.len() < POOLED_FLOWS {
             return None;
         }
         flows.choose(&mut rand::rng()).cloned()
     }
 
-    pub(crate) fn keep_ticket(&self, ticket: String) {
+    pub(crate) fn store_ticket(&self, ticket: String) {
         let mut tickets = self.tickets.lock();
-        if tickets.len() < KEPT_TICKETS {
+        if tickets.len() < MAX_POOLED_TICKETS {
             tickets.push(ticket);
         }
     }
@@ -79,7 +79,7 @@
         self.tickets.lock().pop()
     }
 
-    /// Lets go of the kept flows.
+    /// Removes the flows from the pool, which closes those that are not in use.
     pub(crate) fn clear(&self) {
         self.flows.lock().clear();
     }
--- a/standins/callers/src/run.rs
+++ b/standins/callers/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run.
+//! Runs a plan from its start to its end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 use crate::arrivals::{ServicePools, run_arrivals};
 use crate::client::{ClientError, client_config};
 use crate::context::{CallerContext, CallerCounts};
-use crate::feed::{MOVING_ONE_IN, hold_feed};
-use crate::flow::FlowTarget;
+use crate::feed::{FEEDS_PER_MIGRATION, hold_feed};
+use crate::flow::FlowDestination;
 use crate::plan::CallerPlan;
 use crate::pool::AddressPool;
 
-/// How often counts are told.
-const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
+/// Interval of progress reports.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for closes to reach the other side before the process ends.
-const CLOSE_TIME: Duration = Duration::from_millis(300);
+/// Time for connection closes to reach the servers before the run returns.
+const CLOSE_GRACE: Duration = Duration::from_millis(300);
 
-/// The time over which the feeds are opened.
-const FEED_START: Duration = Duration::from_millis(500);
+/// Time over which the opening of the feeds is spread.
+const FEED_RAMP_UP: Duration = Duration::from_millis(500);
 
 /// Why a run did not start.
 #[derive(Debug, Error)]
@@ -35,27 +35,28 @@
     Client(#[from] ClientError),
 }
 
-/// Runs callers to a plan, tells counts each second, and returns the last ones.
+/// Runs the callers of a plan, passes the counters to `report` each second and returns the final
+/// counters.
 ///
 /// # Errors
 ///
-/// A [`CallerError`] when the run could not start.
+/// Returns a [`CallerError`] if the run could not start.
 pub async fn run_callers(
     plan: CallerPlan,
-    tell: impl Fn(&CallerCounts) + Send + 'static,
+    report: impl Fn(&CallerCounts) + Send + 'static,
 ) -> Result<CallerCounts, CallerError> {
     let history = HistoryWriter::create(&plan.history)?;
     let pools = make_pools(&plan)?;
     let context = CallerContext::new(plan, history);
-    let progress = tokio::spawn(tell_counts(Arc::clone(&context), tell));
+    let progress = tokio::spawn(report_counts(Arc::clone(&context), report));
     let feeds = start_feeds(&context, &pools);
     run_arrivals(&context, &pools).await;
-    context.over.send_replace(true);
+    context.finished.send_replace(true);
     feeds.join_all().await;
     for pool in pools.values().flatten() {
         pool.clear();
     }
-    tokio::time::sleep(CLOSE_TIME).await;
+    tokio::time::sleep(CLOSE_GRACE).await;
     progress.abort();
     Ok(context.counters.read())
 }
@@ -65,13 +66,13 @@
     for service in &plan.services {
         let client = client_config(&service.ca)?;
         let addresses = service.addresses.iter().map(|address| {
-            let target = FlowTarget {
+            let destination = FlowDestination {
                 service: service.name.clone(),
                 server_name: service.server_name.clone(),
                 address: address.address,
                 client: client.clone(),
             };
-            Arc::new(AddressPool::new(target, address))
+            Arc::new(AddressPool::new(destination, address))
         });
         pools.insert(service.name.clone(), addresses.collect());
     }
@@ -93,19 +94,19 @@
     for (index, pool) in (0..count).zip(addresses.iter().cycle()) {
         let context = Arc::clone(context);
         let pool = Arc::clone(pool);
-        let wait = FEED_START * index / count;
+        let delay = FEED_RAMP_UP * index / count;
         feeds.spawn(async move {
-            tokio::time::sleep(wait).await;
-            hold_feed(context, pool, index % MOVING_ONE_IN == 0).await;
+            tokio::time::sleep(delay).await;
+            hold_feed(context, pool, index % FEEDS_PER_MIGRATION == 0).await;
         });
     }
     feeds
 }
 
-async fn tell_counts(context: Arc<CallerContext>, tell: impl Fn(&CallerCounts)) {
-    let mut period = tokio::time::interval(PROGRESS_PERIOD);
+async fn report_counts(context: Arc<CallerContext>, report: impl Fn(&CallerCounts)) {
+    let mut interval = tokio::time::interval(PROGRESS_INTERVAL);
     loop {
-        period.tick().await;
-        tell(&context.counters.read());
+        interval.tick().await;
+        report(&context.counters.read());
     }
 }
--- a/standins/callers/tests/all/feeds.rs
+++ b/standins/callers/tests/all/feeds.rs
@@ -1,24 +1,24 @@
-//! What callers make of feeds.
+//! Tests of how callers check feeds.
 
 use bytes::Bytes;
 use http::Request;
 use lovagelatch_callers::ServicePlan;
 use lovagelatch_history::{RunFacts, RunReport, check_run};
 
-use crate::server::{Script, ScriptedAnswer, bare_service, header, run_against};
+use crate::server::{Script, ScriptedResponse, bare_service, header, run_against};
 
-fn feed_of(request: &Request<()>, ids: &[u64], open_end: bool) -> ScriptedAnswer {
+fn feed_response(request: &Request<()>, ids: &[u64], stays_open: bool) -> ScriptedResponse {
     let feed = header(request, "lovagelatch-caller-request").unwrap_or_default();
     let event = |id| format!("id: {id}\ndata: {{\"feed\":\"{feed}\"}}\n\n");
     let text: String = ids.iter().map(event).collect();
-    // Events are torn apart between parts of the body.
+    // Splits an event between two chunks of the body.
     let (first, second) = text.split_at(text.len() / 2);
-    let mut answer = ScriptedAnswer::new(200, "done", String::new());
-    answer.parts = [first, second]
-        .map(|part| Bytes::copy_from_slice(part.as_bytes()))
+    let mut response = ScriptedResponse::new(200, "done", String::new());
+    response.chunks = [first, second]
+        .map(|chunk| Bytes::copy_from_slice(chunk.as_bytes()))
         .to_vec();
-    answer.open_end = open_end;
-    answer
+    response.stays_open = stays_open;
+    response
 }
 
 struct FeedCase {
@@ -28,26 +28,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn judges_feeds() {
+async fn checks_feeds() {
     let cases = [
         FeedCase {
             name: "whole",
-            script: |request, _| feed_of(request, &[1, 2, 3], true),
+            script: |request, _| feed_response(request, &[1, 2, 3], true),
             expected: |report| (report.cut, report.crossed, report.flows_broken) == (0, 0, 0),
         },
         FeedCase {
             name: "lost",
-            script: |request, _| feed_of(request, &[1, 3], true),
+            script: |request, _| feed_response(request, &[1, 3], true),
             expected: |report| (report.cut, report.crossed, report.flows_broken) == (1, 0, 0),
         },
         FeedCase {
             name: "doubled",
-            script: |request, _| feed_of(request, &[1, 1, 2], true),
+            script: |request, _| feed_response(request, &[1, 1, 2], true),
             expected: |report| (report.cut, report.crossed, report.flows_broken) == (0, 1, 0),
         },
         FeedCase {
             name: "ended",
-            script: |request, _| feed_of(request, &[1, 2], false),
+            script: |request, _| feed_response(request, &[1, 2], false),
             expected: |report| report.flows_broken > 0,
         },
     ];
--- a/standins/callers/tests/all/main.rs
+++ b/standins/callers/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the callers against a small HTTP/3 server that answers as each case says.
+//! Tests of the callers against a small HTTP/3 server with scripted responses.
 
-mod cases;
 mod feeds;
+mod responses;
 mod server;
--- a/standins/callers/tests/all/cases.rs
+++ b/standins/callers/tests/all/responses.rs
@@ -1,4 +1,4 @@
-//! What callers make of answers, good and bad.
+//! Tests of how callers check responses and retry.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,9 +9,9 @@
     content_for,
 };
 
-use crate::server::{Script, ScriptedAnswer, bare_service, header, requested_id, run_against};
+use crate::server::{Script, ScriptedResponse, bare_service, header, requested_id, run_against};
 
-struct AnswerCase {
+struct ResponseCase {
     name: &'static str,
     service: ServicePlan,
     script: Script,
@@ -33,46 +33,46 @@
     }
 }
 
-fn status_of(id: &str) -> ScriptedAnswer {
-    ScriptedAnswer::new(200, "done", format!(r#"{{"id":"{id}"}}"#))
+fn status_of(id: &str) -> ScriptedResponse {
+    ScriptedResponse::new(200, "done", format!(r#"{{"id":"{id}"}}"#))
 }
 
-fn right_status(request: &Request<()>, _: u64) -> ScriptedAnswer {
+fn correct_status(request: &Request<()>, _: u64) -> ScriptedResponse {
     status_of(&requested_id(request))
 }
 
-fn crossed_status(_: &Request<()>, _: u64) -> ScriptedAnswer {
+fn crossed_status(_: &Request<()>, _: u64) -> ScriptedResponse {
     status_of("another")
 }
 
-fn wrong_service(request: &Request<()>, _: u64) -> ScriptedAnswer {
+fn wrong_service(request: &Request<()>, _: u64) -> ScriptedResponse {
     status_of(&requested_id(request)).with_header("lovagelatch-service", "certificates")
 }
 
-fn unknown_status(_: &Request<()>, _: u64) -> ScriptedAnswer {
-    ScriptedAnswer::new(504, "unknown", String::new())
+fn unknown_status(_: &Request<()>, _: u64) -> ScriptedResponse {
+    ScriptedResponse::new(504, "unknown", String::new())
 }
 
-fn download(request: &Request<()>, id: &str, short: usize) -> ScriptedAnswer {
+fn download(request: &Request<()>, id: &str, missing_bytes: usize) -> ScriptedResponse {
     let query = request.uri().query().unwrap_or_default();
     let bytes = query
         .split('&')
         .find_map(|pair| pair.strip_prefix("bytes="));
     let bytes: usize = bytes.and_then(|bytes| bytes.parse().ok()).unwrap_or(0);
-    let mut answer = ScriptedAnswer::new(200, "done", String::new());
-    answer.parts = vec![content_for(id, bytes - short).into()];
-    answer
+    let mut response = ScriptedResponse::new(200, "done", String::new());
+    response.chunks = vec![content_for(id, bytes - missing_bytes).into()];
+    response
 }
 
-fn right_download(request: &Request<()>, _: u64) -> ScriptedAnswer {
+fn correct_download(request: &Request<()>, _: u64) -> ScriptedResponse {
     download(request, &requested_id(request), 0)
 }
 
-fn short_download(request: &Request<()>, _: u64) -> ScriptedAnswer {
+fn truncated_download(request: &Request<()>, _: u64) -> ScriptedResponse {
     download(request, &requested_id(request), 1)
 }
 
-fn crossed_download(request: &Request<()>, _: u64) -> ScriptedAnswer {
+fn crossed_download(request: &Request<()>, _: u64) -> ScriptedResponse {
     download(request, "another", 0)
 }
 
@@ -85,8 +85,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn judges_answers() {
-    let case = |name, service, script, outcome, flaw| AnswerCase {
+async fn checks_responses() {
+    let case = |name, service, script, outcome, flaw| ResponseCase {
         name,
         service,
         script,
@@ -96,14 +96,14 @@
     use ObservedOutcome::{Done, Unknown};
     let crossed = Some(ResponseFlaw::Crossed);
     let cut = Some(ResponseFlaw::CutClean);
-    let misled = Some(ResponseFlaw::WrongService);
+    let wrong = Some(ResponseFlaw::WrongService);
     let cases = [
-        case("status", with_status(), right_status, Done, None),
+        case("status", with_status(), correct_status, Done, None),
         case("other-status", with_status(), crossed_status, Done, crossed),
-        case("service", with_status(), wrong_service, Done, misled),
+        case("service", with_status(), wrong_service, Done, wrong),
         case("unknown", with_status(), unknown_status, Unknown, None),
-        case("download", with_download(), right_download, Done, None),
-        case("short", with_download(), short_download, Unknown, cut),
+        case("download", with_download(), correct_download, Done, None),
+        case("short", with_download(), truncated_download, Unknown, cut),
         case(
             "other-download",
             with_download(),
@@ -130,20 +130,20 @@
     futures::future::join_all(runs).await;
 }
 
-/// Refuses the first attempt at each status, and says when to come back.
-fn refuses_once(request: &Request<()>, number: u64) -> ScriptedAnswer {
+/// Refuses the first three requests and asks for a retry after 700 ms.
+fn refuse_first(request: &Request<()>, number: u64) -> ScriptedResponse {
     if number < 3 {
-        let refused = ScriptedAnswer::new(503, "not-run", String::new());
+        let refused = ScriptedResponse::new(503, "not-run", String::new());
         return refused.with_header("lovagelatch-retry-after-ms", "700");
     }
-    right_status(request, number)
+    correct_status(request, number)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn comes_back_when_asked_to() {
-    let records = run_against("retry", with_status(), refuses_once).await;
+async fn retries_after_the_requested_delay() {
+    let records = run_against("retry", with_status(), refuse_first).await;
     let mut refused_at = HashMap::new();
-    let mut sent_for = HashMap::new();
+    let mut arrival_of = HashMap::new();
     let mut retried = 0;
     for record in &records {
         match record {
@@ -153,11 +153,12 @@
                 time_ms,
                 ..
             } => {
-                let wanted = arrived_ms.to_bits();
-                sent_for.insert(request.clone(), wanted);
-                if let Some(refused) = refused_at.get(&wanted) {
+                // All attempts of an operation have the same arrival time.
+                let arrival = arrived_ms.to_bits();
+                arrival_of.insert(request.clone(), arrival);
+                if let Some(refused) = refused_at.get(&arrival) {
                     let waited = time_ms - refused;
-                    assert!(waited >= 700.0, "came back after {waited} ms");
+                    assert!(waited >= 700.0, "retried after {waited} ms");
                     retried += 1;
                 }
             }
@@ -166,40 +167,39 @@
                 time_ms,
                 end,
             } if end.outcome == ObservedOutcome::NotRun => {
-                refused_at.insert(sent_for[request], *time_ms);
+                refused_at.insert(arrival_of[request], *time_ms);
             }
             _ => {}
         }
     }
-    assert!(retried >= 1, "nothing was tried again: {records:#?}");
+    assert!(retried >= 1, "no retry: {records:#?}");
 }
 
-/// Hands out tickets, and never says how a filing with one ended.
-fn forgets_filings(request: &Request<()>, number: u64) -> ScriptedAnswer {
+/// Issues tickets, and responds with an unknown outcome to each filing that has one.
+fn lose_filing_outcomes(request: &Request<()>, number: u64) -> ScriptedResponse {
     let ticket = format!("ticket-{number}");
     if request.uri().path().ends_with("/ticket") {
-        return ScriptedAnswer::new(200, "done", String::new())
+        return ScriptedResponse::new(200, "done", String::new())
             .with_header("lovagelatch-ticket", &ticket);
     }
-    let Some(own) = header(request, "idempotency-key") else {
-        return ScriptedAnswer::new(428, "not-run", String::new())
+    let Some(sent_ticket) = header(request, "idempotency-key") else {
+        return ScriptedResponse::new(428, "not-run", String::new())
             .with_header("lovagelatch-ticket", &ticket);
     };
-    ScriptedAnswer::new(504, "unknown", String::new())
-        .with_header("lovagelatch-agent", &own)
+    ScriptedResponse::new(504, "unknown", String::new())
+        .with_header("lovagelatch-agent", &sent_ticket)
         .with_header("lovagelatch-retry-after-ms", "1")
 }
 
-/// Symptom: a filing runs twice although each ticket runs once.
-/// Sequence: a filing's outcome is unknown; its caller tries again with another ticket.
-/// Cause: a new ticket is a new filing to the system.
+/// Guards against a filing that runs twice although each ticket runs once: its outcome is unknown
+/// and the caller retries it with another ticket, which the system treats as a new filing.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tries_an_unknown_filing_again_with_its_own_ticket_only() {
+async fn retries_an_unknown_filing_only_with_the_same_ticket() {
     let service = ServicePlan {
         filing: Some("/claims".to_owned()),
         ..with_status()
     };
-    let records = run_against("tickets", service, forgets_filings).await;
+    let records = run_against("tickets", service, lose_filing_outcomes).await;
     let mut filing_of = HashMap::new();
     let mut attempts: HashMap<&str, u32> = HashMap::new();
     let mut tickets: HashMap<&str, HashSet<&str>> = HashMap::new();
@@ -215,7 +215,7 @@
             }
             CallerRecord::RequestEnded { request, end, .. } => {
                 let filing = filing_of.get(request.as_str());
-                // The script names the ticket it saw in place of an agent.
+                // The script returns the ticket of the request in place of an agent.
                 if let (Some(filing), Some(ticket)) = (filing, &end.agent) {
                     *attempts.entry(filing).or_default() += 1;
                     tickets.entry(filing).or_default().insert(ticket);
@@ -226,9 +226,9 @@
     }
     assert!(
         attempts.values().any(|&count| count > 1),
-        "nothing was tried again"
+        "no filing was retried"
     );
     for (filing, tickets) in tickets {
-        assert_eq!(tickets.len(), 1, "{filing} was tried with {tickets:?}");
+        assert_eq!(tickets.len(), 1, "{filing} was sent with {tickets:?}");
     }
 }
--- a/standins/callers/tests/all/server.rs
+++ b/standins/callers/tests/all/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/3 server whose answers a test scripts.
+//! A small HTTP/3 server with scripted responses.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
@@ -15,24 +15,24 @@
 use rcgen::{CertificateParams, KeyPair};
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, PrivatePkcs8KeyDer};
 
-/// What the server answers to one request.
+/// The response to one request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ScriptedAnswer {
+pub(crate) struct ScriptedResponse {
     pub(crate) status: u16,
     pub(crate) headers: Vec<(&'static str, String)>,
-    /// Parts of the body, each after a short pause.
-    pub(crate) parts: Vec<Bytes>,
-    /// Whether the body then stays open for good.
-    pub(crate) open_end: bool,
+    /// Chunks of the body, each sent after [`CHUNK_DELAY`].
+    pub(crate) chunks: Vec<Bytes>,
+    /// Whether the body stays open after the last chunk.
+    pub(crate) stays_open: bool,
 }
 
-impl ScriptedAnswer {
+impl ScriptedResponse {
     pub(crate) fn new(status: u16, outcome: &str, body: String) -> Self {
         Self {
             status,
             headers: vec![("lovagelatch-outcome", outcome.to_owned())],
-            parts: vec![Bytes::from(body)],
-            open_end: false,
+            chunks: vec![Bytes::from(body)],
+            stays_open: false,
         }
     }
 
@@ -42,33 +42,33 @@
     }
 }
 
-/// The script: a request and its number give the answer.
-pub(crate) type Script = fn(&Request<()>, u64) -> ScriptedAnswer;
+/// A script: maps a request and its number, from 0, to its response.
+pub(crate) type Script = fn(&Request<()>, u64) -> ScriptedResponse;
 
-/// The time before each part of a body.
-const PART_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before each chunk of a body.
+const CHUNK_DELAY: Duration = Duration::from_millis(20);
 
-/// What a caller asked for.
+/// Returns the id at the end of the path of a request.
 pub(crate) fn requested_id(request: &Request<()>) -> String {
     let path = request.uri().path();
     path.rsplit('/').next().unwrap_or_default().to_owned()
 }
 
-/// A header's text.
+/// Returns the text of a header.
 pub(crate) fn header(request: &Request<()>, name: &str) -> Option<String> {
     let value = request.headers().get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
-/// Serves a script to callers for a moment and returns their history.
+/// Runs callers against a script for one second and returns their history.
 pub(crate) async fn run_against(
     name: &str,
     service: ServicePlan,
     script: Script,
 ) -> Vec<CallerRecord> {
     let file = |suffix: &str| -> PathBuf {
-        let number = std::process::id();
-        std::env::temp_dir().join(format!("lovagelatch-callers-{number}-{name}{suffix}"))
+        let process = std::process::id();
+        std::env::temp_dir().join(format!("lovagelatch-callers-{process}-{name}{suffix}"))
     };
     let (ca, history) = (file(".pem"), file(".jsonl"));
     let address = serve(&ca, script);
@@ -93,14 +93,14 @@
     };
     let run = run_callers(plan, |_| ());
     let run = tokio::time::timeout(Duration::from_secs(30), run).await;
-    run.expect("a run ends by itself").expect("a run starts");
+    run.expect("the run ends in time").expect("the run starts");
     let records = read_history(&history).expect("a history");
     let _ = std::fs::remove_file(ca);
     let _ = std::fs::remove_file(history);
     records
 }
 
-/// A service with nothing to ask for yet.
+/// Returns the plan of a service without any kind of request.
 pub(crate) fn bare_service() -> ServicePlan {
     ServicePlan {
         name: "claims".to_owned(),
@@ -156,11 +156,11 @@
         return;
     };
     while let Ok(Some(resolver)) = flow.accept().await {
-        tokio::spawn(answer(resolver, script, Arc::clone(&numbers)));
+        tokio::spawn(respond(resolver, script, Arc::clone(&numbers)));
     }
 }
 
-async fn answer(
+async fn respond(
     resolver: RequestResolver<h3_quinn::Connection, Bytes>,
     script: Script,
     numbers: Arc<AtomicU64>,
@@ -168,22 +168,22 @@
     let Ok((request, mut stream)) = resolver.resolve_request().await else {
         return;
     };
-    let answer = script(&request, numbers.fetch_add(1, Ordering::Relaxed));
-    let mut head = Response::builder().status(answer.status);
-    for (name, value) in &answer.headers {
+    let response = script(&request, numbers.fetch_add(1, Ordering::Relaxed));
+    let mut head = Response::builder().status(response.status);
+    for (name, value) in &response.headers {
         head = head.header(*name, value);
     }
-    let head = head.body(()).expect("scripts hold good headers");
+    let head = head.body(()).expect("scripts have valid headers");
     if stream.send_response(head).await.is_err() {
         return;
     }
-    for part in answer.parts {
-        tokio::time::sleep(PART_PAUSE).await;
-        if stream.send_data(part).await.is_err() {
+    for chunk in response.chunks {
+        tokio::time::sleep(CHUNK_DELAY).await;
+        if stream.send_data(chunk).await.is_err() {
             return;
         }
     }
-    if answer.open_end {
+    if response.stays_open {
         std::future::pending::<()>().await;
     }
     let _ = stream.finish().await;
