--- a/crates/catalog/tests/all/member.rs
+++ b/crates/catalog/tests/all/member.rs
@@ -42,9 +42,9 @@
     assert!((20..=30).contains(&calls), "{calls} calls in 30 s");
 }
 
-// Symptom: a balancer sends flows by an old configuration. Sequence: the elected readers die, or
-// are cut off from the store or from the other balancers; the operator changes something. Cause:
-// the others waited for heads that no balancer sent.
+// Guards against a balancer that sends flows by an old configuration: the elected readers die, or
+// are cut off from the store or from the other balancers, the operator changes something, and the
+// others wait for heads that no balancer sends.
 #[test]
 fn a_change_is_in_force_in_time_whatever_happens_to_the_readers() {
     for case in READER_FAULTS {
@@ -63,9 +63,9 @@
     }
 }
 
-// Symptom: every few seconds, changes arrive two seconds late. Sequence: both readers are cut off
-// from the store for a long time; others take over; the readers become candidates again and the
-// others step back. Cause: they became candidates without having reached the store.
+// Guards against changes that arrive two seconds late, every few seconds. Both readers are cut off
+// from the store for a long time, and others take over. If the old readers become candidates again
+// without having reached the store, the new ones step back.
 #[test]
 fn readers_that_stay_cut_off_are_not_elected_again() {
     let mut group = settled(8);
@@ -119,9 +119,9 @@
     heads.collect()
 }
 
-// Symptom: after a power loss, nothing is served for a quarter of a second in which all processes
-// run and the store answers. Sequence: every process is new; each waits some milliseconds to hear
-// another one. Cause: the end of that wait was noticed only by the next tick.
+// Guards against a quarter of a second after a power loss in which all processes run and the store
+// answers, but nothing is served. Every process is new, and each waits some milliseconds to hear
+// another one. The end of that wait must not have to wait for the next tick.
 #[test]
 fn a_new_balancer_calls_the_store_within_twenty_milliseconds() {
     let start = Moment::from_millis(1_000);
@@ -147,10 +147,10 @@
     }
 }
 
-// Symptom: a second after a power loss, some balancers still treat no flow as lost. Sequence: all
-// start at once, the configured seeds last; the others sent them heads before they ran, and then
-// waited half a second, prolonged by each change of the catalog. Cause: a discovery head without an
-// answer was repeated at the regular interval.
+// Guards against balancers that treat no flow as lost until a second after a power loss. All start
+// at once, the configured seeds last, so the first heads reach nobody. If an unanswered discovery
+// head is repeated only at the regular interval, the others wait half a second, prolonged by each
+// change of the catalog.
 #[test]
 fn a_balancer_contacts_its_seeds_until_one_answers() {
     let start = Moment::from_millis(1_000);
@@ -175,9 +175,9 @@
     assert_eq!(regular, [1, 0, 0, 0]);
 }
 
-// Symptom: two thirds of the store calls of a quiet day are made in the first second. Sequence: the
-// balancers start before the operator writes the first configuration; each list is empty and is
-// answered at once. Cause: without a configuration, each answer led to another list.
+// Guards against two thirds of a quiet day's store calls in its first second. The balancers start
+// before the operator writes the first configuration; each list is empty and answered at once.
+// Without a configuration, an answer must not lead to another list.
 #[test]
 fn a_store_without_a_configuration_is_watched() {
     let mut group = Group::new(4);
@@ -191,9 +191,9 @@
     assert_eq!(group.versions(), [1; 4]);
 }
 
-// Symptom: for half a second after a power loss, no lost flow is reported. Sequence: all balancers
-// start at once; each sends heads to its seeds. Cause: the receiver sent no reply, so each waited
-// for the regular head of the other to know whether the store had failed.
+// Guards against lost flows that are not reported for half a second after a power loss. All
+// balancers start at once, and each sends heads to its seeds. Without a reply, each waits for the
+// regular head of the other to know whether the store had failed.
 #[test]
 fn balancers_that_start_together_answer_each_other_once() {
     let start = Moment::from_millis(1_000);
@@ -223,9 +223,9 @@
     assert!(group.node(1).member.is_ready());
 }
 
-// Symptom: a removed target gets flows forever. Sequence: the store drops its history while a
-// target leaves; the watch fails because its history is gone. Cause: the watch continued from the
-// newest revision and missed the removal.
+// Guards against a removed target that gets flows forever. The store drops its history while a
+// target leaves, and the watch fails because its history is gone. If the watch continues from the
+// newest revision, it misses the removal.
 #[test]
 fn a_lost_history_leads_to_a_new_list() {
     let mut group = settled(4);
@@ -268,9 +268,9 @@
     );
 }
 
-// Symptom: after a power loss during an outage of the store, nothing is served for up to a second
-// after the store is back. Sequence: all balancers start during the outage; the backoff of each
-// grows. Cause: a balancer without a catalog used the backoff of one that can serve.
+// Guards against balancers that serve nothing for up to a second after the store is back, following
+// a power loss during an outage of the store. All start during the outage, and the backoff of each
+// grows. A balancer without a catalog must not use the backoff of one that can serve.
 #[test]
 fn balancers_without_a_catalog_notice_the_recovery_of_the_store_at_once() {
     let mut group = Group::new(8);
@@ -285,8 +285,8 @@
     assert!(group.nodes.values().all(|node| node.member.is_ready()));
 }
 
-// Symptom: the charges for the store rise while it is down. Sequence: it refuses all calls; every
-// balancer retries at once. Cause: refused calls are charged like others.
+// Guards against charges for the store that rise while it is down: it refuses all calls, which are
+// charged like others, and every balancer retries at once.
 #[test]
 fn a_store_that_refuses_calls_is_not_overloaded() {
     let mut group = settled(8);
@@ -329,9 +329,9 @@
     );
 }
 
-// Symptom: a new balancer resets flows whose targets are alive. Sequence: the store recovers from
-// an outage without the entries that expired; a balancer starts and lists it. Cause: it could not
-// know of the outage.
+// Guards against a new balancer that resets flows whose targets are alive. The store recovers from
+// an outage without the entries that expired; a balancer starts, lists the store, and cannot know
+// of the outage unless another balancer reports it.
 #[test]
 fn a_new_balancer_learns_of_an_earlier_store_failure() {
     let mut group = settled(3);
@@ -424,8 +424,8 @@
     expected: u64,
 }
 
-/// Guards against a store that counts as failing until an old watch is overdue, although it has
-/// answered others since.
+// Guards against a store that counts as failing until an old watch is overdue, although it has
+// answered others since.
 #[test]
 fn an_overdue_watch_shows_no_failure_after_later_answers_of_the_store() {
     let cases = [
@@ -491,8 +491,8 @@
     expected: bool,
 }
 
-/// Guards against a balancer that still vouches for zones when it can no longer learn of an
-/// evacuation.
+// Guards against a balancer that still vouches for zones when it can no longer learn of an
+// evacuation.
 #[test]
 fn a_balancer_that_hears_neither_the_store_nor_a_peer_is_cut_off() {
     let cases = [
--- a/crates/catalog/tests/all/readers.rs
+++ b/crates/catalog/tests/all/readers.rs
@@ -21,10 +21,10 @@
     Group::settled(count, Duration::from_secs(8))
 }
 
-// Symptom: a quiet day of 59 balancers makes 757 calls to the store, one of 6 makes 79. Sequence:
-// heads go to three random peers, so within the TTL of a peer a balancer hears only some ten
-// others; it has one of the two lowest ranks among those, and reads. Cause: a balancer knew of the
-// readers only what it heard from them directly.
+// Guards against store calls that grow with the fleet: 59 balancers made 757 calls on a quiet day,
+// 6 made 79. Heads go to three random peers, so within the TTL of a peer a balancer hears only some
+// ten others. If it knows only the readers that it hears directly, it has one of the two lowest
+// ranks among those, and reads.
 #[test]
 fn calls_to_the_store_do_not_grow_with_the_fleet() {
     for count in SIZES {
@@ -37,9 +37,9 @@
     }
 }
 
-// Symptom: a configuration is not in force in time. Sequence: both readers are dead, cut off, or
-// refused by the store, and the operator changes something. Cause (of the mutation that this test
-// detects): relayed reader status keeps a reader alive for longer than its own heads.
+// Guards against a configuration that is not in force in time: both readers are dead, cut off, or
+// refused by the store, and the operator changes something. Relayed reader status must not keep a
+// reader alive for longer than its own heads.
 #[test]
 fn fallback_readers_take_over_in_time() {
     for case in READER_FAULTS {
@@ -59,8 +59,8 @@
     }
 }
 
-// Symptom: all balancers call a store that is down all the time. Cause (of the mutation that this
-// test detects): the probability of becoming a fallback reader was computed from too few members.
+// Guards against a store that is down and is called by all balancers all the time, because the
+// probability of becoming a fallback reader is computed from too few members.
 #[test]
 fn a_store_that_is_down_is_not_called_by_all() {
     for count in SIZES {
@@ -96,9 +96,9 @@
     late: u32,
 }
 
-// Pattern: the status of one balancer spreads by heads. A status that every balancer relays to
-// three others reaches all in a number of rounds that is logarithmic in the fleet size; 3.5 s
-// suffice for thousands.
+// Guards against reader status that is out of date in large fleets. A status that every balancer
+// relays to three others reaches all in a number of rounds that is logarithmic in the fleet size;
+// 3.5 s suffice for thousands.
 #[test]
 fn reader_status_is_recent_in_fleets_of_thousands() {
     let cases = [
--- a/crates/catalog/tests/all/stops.rs
+++ b/crates/catalog/tests/all/stops.rs
@@ -64,8 +64,8 @@
     agents: u8,
 }
 
-/// Guards against balancers that take a planned restart for a failure because only others were
-/// notified.
+// Guards against balancers that take a planned restart for a failure because only others were
+// notified.
 #[test]
 fn a_stop_is_known_to_all_balancers_before_the_silence_timeout() {
     let cases = [
@@ -102,7 +102,7 @@
     }
 }
 
-/// Guards against a balancer that starts during a restart and does not learn of it.
+// Guards against a balancer that starts during a restart and does not learn of it.
 #[test]
 fn a_balancer_that_starts_during_a_restart_learns_of_it() {
     let mut group = Group::settled(4, Duration::from_secs(3));
@@ -115,8 +115,8 @@
     assert!(received[0].age >= Duration::from_secs(2), "{received:?}");
 }
 
-/// Guards against a new balancer that assumes that it knows of every stop because no peer reported
-/// one.
+// Guards against a new balancer that assumes that it knows of every stop because no peer reported
+// one.
 #[test]
 fn stops_are_known_since_the_start_of_the_balancer_or_of_a_reporting_peer() {
     struct CoverCase {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Guards against a new balancer that takes a partial report of stops for a complete one.
+// Guards against a new balancer that takes a partial report of stops for a complete one.
 #[test]
 fn an_update_covers_no_stop_that_it_does_not_list() {
     struct PartCase {
@@ -206,8 +206,8 @@
     }
 }
 
-/// Guards against an announcement that is relayed forever, and against a late one that hides a
-/// failure.
+// Guards against an announcement that is relayed forever, and against a late one that hides a
+// failure.
 #[test]
 fn a_stop_is_relayed_once_and_not_after_the_restart_grace() {
     struct LateCase {
--- a/crates/catalog/tests/all/tables.rs
+++ b/crates/catalog/tests/all/tables.rs
@@ -41,9 +41,9 @@
     unreadable.map(|row| row.name().0.to_string()).collect()
 }
 
-// Symptom: one bad entry in the store makes all targets disappear, or a target whose entry cannot
-// be decoded gets new flows. Cause: a list with an undecodable value was rejected as a whole, or
-// the previous record of that name was kept.
+// Guards against one bad entry in the store that makes all targets disappear, because a list with
+// an undecodable value is rejected as a whole; and against a target whose entry cannot be decoded
+// but which gets new flows, because the previous record of that name is kept.
 #[test]
 fn an_unreadable_entry_provides_no_target_and_hides_no_other() {
     let mut tables = tables_with(&["i-1", "i-2"], 5);
@@ -71,9 +71,9 @@
     unreadable_names: &'static [&'static str],
 }
 
-// Symptom: two balancers list the store again and again while one entry cannot be decoded.
-// Sequence: one balancer knew the target and kept its last record; the other has started since.
-// Cause: the catalog of a balancer depended on more than the content of the store.
+// Guards against two balancers that list the store again and again while one entry cannot be
+// decoded. One knew the target and kept its last record, the other has started since, so the
+// catalog of a balancer depends on more than the content of the store.
 #[test]
 fn the_catalog_depends_on_the_store_alone() {
     let garbage = |name: &str| unreadable(&format!("servers/{name}"), Some(name));
@@ -158,8 +158,8 @@
     }
 }
 
-// Symptom: a removed target reappears for a moment. Sequence: a peer reports revision 9; then the
-// answer of a watch from revision 5 arrives. Cause: known events were applied again.
+// Guards against a removed target that reappears for a moment: a peer reports revision 9, then the
+// answer of a watch from revision 5 arrives, and known events are applied again.
 #[test]
 fn old_events_change_nothing() {
     let mut tables = tables_with(&["i-1"], 5);
--- a/crates/catalog/tests/all/zones.rs
+++ b/crates/catalog/tests/all/zones.rs
@@ -66,8 +66,8 @@
     zones: &'static [&'static str],
 }
 
-// Symptom: a zone gets new flows although it is evacuated, or none although its evacuation has
-// ended. Cause: an older change was applied after a newer one.
+// Guards against a zone that gets new flows although it is evacuated, or none although its
+// evacuation has ended, because an older change is applied after a newer one.
 #[test]
 fn no_older_change_undoes_a_newer_one() {
     let cases = [
@@ -141,9 +141,8 @@
     }
 }
 
-// Symptom: a balancer that has just started sends flows into an evacuated zone. Sequence: it gets
-// routes and targets from a peer. Cause: the zones were not part of the first delta of a new
-// process.
+// Guards against a balancer that has just started and sends flows into an evacuated zone: it gets
+// routes and targets from a peer, and the zones are missing in the first delta of a new process.
 #[test]
 fn a_new_process_gets_the_zones_with_its_first_catalog() {
     let tables = listed(&["hall-a"], 5);
@@ -161,8 +160,8 @@
     assert_eq!(fresh.catalog().zones_revision, 5);
 }
 
-// Symptom: a balancer places flows in an evacuated zone for longer than the users allow. Sequence:
-// the elected readers die, or are cut off; the operator evacuates a zone, and later ends the
+// Guards against a balancer that places flows in an evacuated zone for longer than the users allow:
+// the elected readers die, or are cut off, while the operator evacuates a zone and later ends the
 // evacuation.
 #[test]
 fn an_evacuation_is_known_everywhere_in_time_whatever_happens_to_the_readers() {
@@ -185,8 +184,8 @@
     }
 }
 
-// In normal operation an evacuation is known everywhere within a second, without further calls to
-// the store.
+// Guards against an evacuation that takes more than a second to be known everywhere in normal
+// operation, or that costs further calls to the store.
 #[test]
 fn in_normal_operation_an_evacuation_is_known_everywhere_within_a_second() {
     let mut group = Group::settled(60, Duration::from_secs(5));
@@ -200,8 +199,8 @@
     );
 }
 
-// Symptom: a balancer that has just started reports ready, and holds the packets that it receives.
-// Sequence: it gets the configuration but not the zones. Cause: routes alone made it ready.
+// Guards against a balancer that reports ready after its start and holds the packets that it
+// receives: it has the configuration but not the zones, so routes alone must not make it ready.
 #[test]
 fn a_configuration_without_zones_makes_no_balancer_ready() {
     let tables = listed(&["hall-a"], 5);
@@ -225,8 +224,8 @@
     assert!(member.is_ready());
 }
 
-// Symptom: all processes are killed while a zone is evacuated, and the zone gets flows at once
-// after the restart. Cause: readiness did not require the zones to be known.
+// Guards against an evacuated zone that gets flows right after a restart of all processes, because
+// readiness does not require the zones to be known.
 #[test]
 fn no_balancer_is_ready_before_the_zones_are_known() {
     let mut group = Group::settled(4, Duration::from_secs(5));
--- a/crates/flows/tests/all/agent.rs
+++ b/crates/flows/tests/all/agent.rs
@@ -165,9 +165,9 @@
     prepare: fn(&mut FlowAgent),
 }
 
-// Symptom: a request waits in a full target's queue while others are idle, or for a target that
-// cannot answer. Cause: the balancer placed it by a report up to 250 ms old, and the agent delivered it
-// although it knew the current state.
+// Guards against a request that waits in a full target's queue while others are idle, or for a
+// target that cannot answer. The balancer places it by a report up to 250 ms old; the agent knows
+// the current state and must not deliver it.
 #[test]
 fn a_new_flow_skips_an_unavailable_target() {
     let cases = [
@@ -204,9 +204,9 @@
     }
 }
 
-// Symptom: a request is sent to a target that the client never chose. Sequence: two targets answer
-// a first packet; the client accepts the other target's answer; its next packet arrives here. Cause: a
-// flow counted as open as soon as the target had answered.
+// Guards against a request that is sent to a target that the client never chose. Two targets answer
+// a first packet, the client accepts the other target's answer, and its next packet arrives here. A
+// flow must not count as open as soon as the target has answered.
 #[test]
 fn the_client_decides_at_which_target_a_flow_opens() {
     let mut agent = informed_agent();
@@ -223,9 +223,9 @@
     assert_eq!(step, AgentStep::Return { to: balancer() });
 }
 
-// Symptom: a packet for the claims service reaches the certificate store. Sequence: a target ends;
-// its address is reused by a target of another service; a balancer with a stale view sends there.
-// Cause: the agent did not compare the service of the frame with its own.
+// Guards against a packet for the claims service that reaches the certificate store. A target ends,
+// its address is reused by a target of another service, and a balancer with a stale view sends
+// there. The agent must compare the service of the frame with its own.
 #[test]
 fn an_agent_of_another_service_delivers_nothing() {
     let foreign = |purpose, rest: &[u8]| PacketFrame {
@@ -250,9 +250,8 @@
     }
 }
 
-// Symptom: when an agent restarts, all flows of its target stall. Sequence: the agent is killed and
-// restarts while its target keeps running; a packet arrives. Cause: the agent took its empty flow table
-// to mean that the target has no flows.
+// Guards against flows that stall when their agent restarts: it is killed and restarted while its
+// target keeps running, and takes its empty flow table to mean that the target has no flows.
 #[test]
 fn a_restarted_agent_asks_its_target() {
     let mut agent = restarted_agent();
@@ -270,8 +269,8 @@
     );
 }
 
-// Symptom: a flow's packets keep reaching targets that do not hold it. Sequence: a restarted agent
-// delivers each packet of an unknown flow to its target. Cause: it did not remember that the target had
+// Guards against packets of a flow that keep reaching targets that do not hold it. A restarted
+// agent delivers a packet of an unknown flow to its target, and must remember that the target
 // returned one.
 #[test]
 fn an_unknown_flow_is_delivered_tentatively_only_once() {
@@ -289,9 +288,9 @@
     assert!(matches!(step, AgentStep::Drop(_)));
 }
 
-// Symptom: a client waits for its deadline on a flow whose target restarted. Sequence: the target
-// crashes and restarts without its flows; it returns the client's next packet. Cause: the agent knew
-// that the flow had been here, but sent no reset.
+// Guards against a client that waits for its deadline on a flow whose target crashed and restarted.
+// The target returns the client's next packet, and the agent knows that the flow was here, so it
+// must send a reset.
 #[test]
 fn a_flow_that_its_target_lost_is_reset() {
     let mut agent = informed_agent();
@@ -367,10 +366,10 @@
     }
 }
 
-// Symptom: for the rest of the day one of two targets refuses a tenth of its requests while the other
-// is idle. Sequence: after a power loss one target runs a tenth of a second before the other; two
-// hundred clients open long flows in that time, and the target answers each first packet immediately.
-// Cause: a flow counted only from its first request, so the agent accepted all of them.
+// Guards against a target that refuses a tenth of its requests for the rest of the day while the
+// other one is idle. After a power loss it runs a tenth of a second before the other; two hundred
+// clients open long flows in that time, and it answers each first packet immediately. If a flow
+// counts only from its first request, the agent accepts all of them.
 #[test]
 fn flows_that_are_about_to_open_count_as_requests() {
     let mut agent = informed_agent();
@@ -400,9 +399,9 @@
     }
 }
 
-// Symptom: a tenth of all filings fail while six of forty-two targets go down and up in turn.
-// Sequence: a target that is down accepts a flow and resets it when the request arrives; it has nothing
-// in progress, so the next flows go there too. Cause: the agent ignored how requests ended.
+// Guards against a tenth of all filings that fail while six of forty-two targets go down and up in
+// turn. A target that is down accepts a flow and resets it when the request arrives; it has nothing
+// in progress, so the next flows go there too unless the agent tracks how requests end.
 #[test]
 fn new_flows_skip_a_target_that_resets_its_requests() {
     let mut agent = informed_agent();
@@ -430,8 +429,9 @@
     assert!(takes(&mut agent, 8, 1_221) && takes(&mut agent, 9, 1_221));
 }
 
-// Symptom: an idle target is skipped indefinitely. Sequence: clients give up without closing their flows
-// while requests are in progress. Cause: a request without an answer counted until its flow expired.
+// Guards against an idle target that is skipped indefinitely: clients give up without closing their
+// flows while requests are in progress, and a request without an answer counts until its flow
+// expires.
 #[test]
 fn an_abandoned_request_counts_until_its_timeout() {
     let mut agent = informed_agent();
@@ -472,10 +472,9 @@
     assert_eq!(load.agent, crate::support::agent(1));
 }
 
-// Symptom: open flows are reset at a planned restart of their agents, in a fleet of 59 balancers. Sequence: an
-// agent is stopped; it notifies eight balancers in each round, and has time for two rounds; a balancer that
-// was not notified hears nothing for a while. Cause: the limit of reports per round applied to a stopping
-// agent as well.
+// Guards against open flows that are reset at a planned restart of their agents in a fleet of 59
+// balancers. A stopping agent has time for two rounds. If it notifies only eight balancers in each,
+// a balancer that was not notified hears nothing for a while and takes that for a failure.
 #[test]
 fn a_stopping_agent_notifies_all_balancers_in_each_round() {
     let mut agent = informed_agent();
@@ -495,11 +494,11 @@
     }
 }
 
-// Symptom: an open flow is reset under load while its target serves it. Sequence: the target's
-// answer takes longer than 200 ms, so the client sends a copy of its first packet; the flow
-// opens; the copy arrives; the target repeats its answer; the client's next packet acknowledges
-// far more than that answer. Cause: the agent took the copy for a new flow, and the next packet for
-// part of a flow at another target.
+// Guards against an open flow that is reset under load while its target serves it. The target's
+// answer takes longer than 200 ms, so the client sends a copy of its first packet; the flow opens;
+// the copy arrives, and the target repeats its answer; the client's next packet acknowledges far
+// more than that answer. The copy must not be taken for a new flow, nor the next packet for part of
+// a flow at another target.
 #[test]
 fn a_late_copy_of_the_first_packet_changes_nothing() {
     let mut agent = informed_agent();
@@ -576,10 +575,10 @@
     assert_eq!(agent.status(at(1_003)).load.flows, 1);
 }
 
-// Symptom: after a rolling restart of balancers every packet of the long flows is sent to all agents, for
-// as long as the flows last. Sequence: a balancer is notified where a flow is, restarts at the same address
-// and loses that state; it searches, and the holder delivers the packet without an update. Cause: the
-// holder remembered that it had notified the balancer at this address.
+// Guards against long flows whose every packet is sent to all agents after a rolling restart of
+// balancers. A balancer is notified where a flow is, restarts at the same address and loses that
+// state; it searches, and the holder delivers the packet. The holder must not skip the update
+// because it has notified a balancer at this address before.
 #[test]
 fn a_searching_balancer_is_notified_again() {
     let mut agent = informed_agent();
@@ -595,9 +594,9 @@
     assert_eq!(update, None);
 }
 
-// Symptom: during a rush many flows lose 60 ms each, once a second, while a target is down. Sequence: nothing
-// listens at the target's address; a second later every new flow is delivered to it at once. Cause: the agent
-// took the end of the backoff for the target's return. One flow at a time retries until the target is heard.
+// Guards against a rush in which many flows lose 60 ms each, once a second, while a target is down.
+// Nothing listens at the target's address, and the end of the backoff does not prove that it is
+// back: one flow at a time retries it until it is heard.
 #[test]
 fn one_flow_at_a_time_retries_a_target_that_was_down() {
     let mut agent = informed_agent();
--- a/crates/flows/tests/all/balancer.rs
+++ b/crates/flows/tests/all/balancer.rs
@@ -20,9 +20,9 @@
     }
 }
 
-// An agent refuses a new flow and tells its client. If the balancer is not told, it offers the flow
-// to the next target 60 ms after the first offer, and that target gets a connection that no client
-// uses.
+// Guards against a connection that no client uses. An agent refuses a new flow and resets it at its
+// client; a balancer that is not notified offers the flow to the next target 60 ms after the first
+// offer.
 #[test]
 fn a_refused_flow_is_not_offered_again() {
     let view = claims_view(7);
@@ -63,9 +63,10 @@
     assert_eq!(step, BalancerStep::Reset(RefusalReason::NoTarget));
 }
 
-// A route sends three quarters of its flows to the service with two targets, and all clients open
-// flows at once after a power loss. If only targets of the selected service are tried, that service
-// refuses a tenth of its requests for seconds, while another service of the same route idles.
+// Guards against a service that refuses a tenth of its requests for seconds while another service
+// of the same route idles. The route sends three quarters of its flows to the service with two
+// targets, all clients open flows at once after a power loss, and only targets of the selected
+// service are tried.
 #[test]
 fn the_last_to_be_tried_is_a_target_of_the_routes_other_service() {
     let both = |targets| {
@@ -99,8 +100,8 @@
     }
 }
 
-// A flow opens, its route is removed, and a late retransmission of its first packet arrives. If the
-// route is looked up before the flow, the flow is refused although it has just opened.
+// Guards against a flow that is refused although it has just opened: its route is removed, a late
+// retransmission of its first packet arrives, and the route is looked up before the flow.
 #[test]
 fn a_late_copy_is_not_refused_when_its_route_is_gone() {
     let balancer = FlowBalancer::new(balancer());
@@ -115,9 +116,9 @@
     assert_eq!(step, BalancerStep::Reset(RefusalReason::NoRoute));
 }
 
-// Routers send packets to a balancer that has just started and does not know a configuration yet.
-// If that counts as a configuration without routes, clients are refused three times within
-// milliseconds after a power loss, and give up.
+// Guards against clients that are refused three times within milliseconds after a power loss and
+// give up. Routers send packets to a balancer that has just started; if it has no configuration
+// yet, that must not count as a configuration without routes.
 #[test]
 fn without_a_configuration_nothing_is_refused() {
     let balancer = FlowBalancer::new(balancer());
@@ -128,8 +129,8 @@
     }
 }
 
-// A machine dies, and the balancer offers it a flow. If nothing but the client's retransmission
-// notices the missing answer, the client waits 200 ms for it.
+// Guards against a client that waits 200 ms for its own retransmission: a machine dies, the
+// balancer offers it a flow, and nothing else notices the missing answer.
 #[test]
 fn an_unanswered_offer_goes_to_the_next_target() {
     let view = claims_view(3);
@@ -159,9 +160,9 @@
     assert_eq!(to, first);
 }
 
-// Two targets answer the first packet. The client takes the answer of the one that was asked first,
-// the balancer that of the other. Unless the agents check the balancer's guess, the client's
-// request goes to a target that never accepted it.
+// Guards against a request that goes to a target that never accepted it. Two targets answer the
+// first packet; the client takes the answer of the first one offered, the balancer that of the
+// other. The agents must check the balancer's guess.
 #[test]
 fn packets_of_a_flow_offered_twice_name_both_agents() {
     let view = claims_view(3);
@@ -210,8 +211,8 @@
     }
 }
 
-// The only target announces its stop. Without a time limit on the last resort, it still gets
-// requests seconds later.
+// Guards against requests that are sent to the only target seconds after it announced its stop,
+// because the last resort has no time limit.
 #[test]
 fn a_leaving_target_is_a_last_resort_for_a_moment_only() {
     let leaving = |number| {
--- a/crates/flows/tests/all/delegated_search.rs
+++ b/crates/flows/tests/all/delegated_search.rs
@@ -79,9 +79,9 @@
     assert_eq!(delegate.next_search_deadline(), None);
 }
 
-// Symptom: an open flow is reset. Sequence: the agent that holds the flow is asked by the delegate,
-// delivers the packet and notifies the balancer; that update is late. Cause: the search result counted the
-// holder among the agents that denied holding the flow.
+// Guards against an open flow that is reset. The agent that holds the flow is queried by the
+// delegate, delivers the packet and notifies the balancer, but that update is late. The search
+// result must not count the holder among the agents that reported the flow as absent.
 #[test]
 fn the_holder_of_the_flow_counts_as_silent() {
     let mut delegate = informed_agent();
@@ -104,8 +104,8 @@
     assert_eq!(delegate.expired_searches(at(100)), ended);
 }
 
-// Symptom: one datagram makes an agent send hundreds. Cause: the agent asked every agent that a frame
-// named.
+// Guards against one datagram that makes an agent send hundreds, because it queries every agent
+// that a frame names.
 #[test]
 fn a_delegated_search_asks_at_most_sixty_four_agents() {
     let mut delegate = informed_agent();
--- a/crates/flows/tests/all/load.rs
+++ b/crates/flows/tests/all/load.rs
@@ -72,9 +72,8 @@
     }
 }
 
-// Symptom: all new flows go to one target for a quarter of a second, and its requests queue.
-// Sequence: it reports no load; each flow until the next report is placed there. Cause: the score ignored
-// flows placed since the report.
+// Guards against a quarter of a second in which all new flows go to one target and its requests
+// queue: it reports no load, and the score ignores flows placed since that report.
 #[test]
 fn flows_placed_since_the_report_count() {
     let targets = targets();
@@ -108,10 +107,10 @@
     assert!(!loads.is_suspected(agent(1), at(10_100)));
 }
 
-// Symptom: in a fleet with more than sixteen balancers, open flows are reset without any failure.
-// Sequence: an agent reports its load to sixteen of them; another balancer, whose packets it delivers,
-// hears nothing. Cause: the balancer inferred silence from the absence of unsolicited reports, which are
-// not guaranteed.
+// Guards against open flows that are reset without any failure in a fleet with more than sixteen
+// balancers. An agent reports its load to sixteen of them; another balancer, whose packets it
+// delivers, hears nothing. Unsolicited reports are not guaranteed, so their absence does not prove
+// silence.
 #[test]
 fn an_agent_that_was_not_probed_is_not_silent() {
     let mut loads = LoadTable::default();
@@ -190,9 +189,9 @@
     expected: bool,
 }
 
-// Symptom: a third of a zone's requests fail for five seconds. Sequence: the zone's only balancer is partitioned
-// from all other machines, but not from the platform's routers; it reports ready. Cause: readiness
-// required only a known configuration, not a working path to the targets.
+// Guards against a third of a zone's requests that fail for five seconds. The zone's only balancer
+// is partitioned from all other machines, but not from the platform's routers, and reports ready:
+// that must require a working path to the targets as well as a known configuration.
 #[test]
 fn a_balancer_that_hears_nobody_is_isolated() {
     let cases = [
--- a/crates/flows/tests/all/loss.rs
+++ b/crates/flows/tests/all/loss.rs
@@ -55,9 +55,9 @@
     balancer.handle_packet(&data(flow(1)), b"data", view, at(1_000));
 }
 
-// A machine dies while clients have flows to it. If nobody tells them, each loses its next request
-// to its deadline. Conversely, resetting a flow of a living target breaks a session, or a filing
-// that is still running.
+// Guards against clients that each lose their next request to its deadline, because their target's
+// machine died and nothing resets their flows. Also guards against the reset of a living target's
+// flow, which breaks a session, or a filing that is still running.
 #[test]
 fn a_lost_flow_is_reset_and_no_other() {
     let base = LossCase {
@@ -149,10 +149,10 @@
     }
 }
 
-// A flow is offered to one target, whose answer does not reach the balancer, and 60 ms later to
-// another one, which answers too. The client takes the first, and the second stops as planned
-// seconds later. If the balancer takes the answer that it heard as proof of where the flow is, it
-// resets an open flow while its target serves it.
+// Guards against the reset of an open flow while its target serves it. The flow is offered to one
+// target, whose answer does not reach the balancer, and 60 ms later to another one, which answers
+// too. The client takes the first, and the second stops as planned seconds later. The answer that
+// the balancer heard does not prove where the flow is.
 #[test]
 fn a_flow_that_may_be_at_another_target_is_not_lost_with_one() {
     let both = catalog(vec![target(1, "claims"), target(2, "claims")]);
@@ -189,9 +189,9 @@
     assert_eq!(balancer.lost_flows(&view, at(2_001)).len(), 1);
 }
 
-// A balancer sends to an agent just before a planned restart and is not told of the stop. It probes
-// the agent while it is away for 0.56 s, and hears it again 0.93 s after it first sent. A timeout
-// of 0.8 s resets its open flows.
+// Guards against open flows that are reset at a planned restart. A balancer sends to an agent just
+// before it and is not notified of the stop. It probes the agent while it is away for 0.56 s, and
+// hears it again 0.93 s after it first sent; a timeout of 0.8 s is too short.
 #[test]
 fn a_silence_as_long_as_a_planned_restart_ends_no_flow() {
     let view = claims_view(2);
@@ -206,11 +206,11 @@
     assert_eq!(resets.len(), 1, "longer than that it is");
 }
 
-// A balancer is paused for seconds with a client's first packet unread. The client's retransmission
-// opens the flow through another balancer, at one target. The paused balancer resumes and offers
-// its copy to a second target, which answers; then the second target's machine goes silent, and the
-// client's packets come to this balancer. If an answer to a first packet counts as proof that the
-// flow is held there, this resets an open flow of a living target.
+// Guards against the reset of a living target's open flow. A balancer is paused for seconds with a
+// client's first packet unread, and the client's retransmission opens the flow through another
+// balancer. The paused balancer resumes and offers its copy to a second target, which answers; then
+// that target's machine goes silent, and the client's packets come to this balancer. An answer to a
+// first packet does not prove that the flow is held there.
 #[test]
 fn an_answered_flow_is_searched_for_when_its_target_is_lost() {
     struct AnsweredCase {
@@ -276,8 +276,8 @@
     }
 }
 
-/// Guards against resets of open flows whose agent is restarted as planned, by a balancer that the
-/// agent did not tell of its stop.
+// Guards against resets of open flows whose agent is restarted as planned, by a balancer that the
+// agent did not notify of its stop.
 #[test]
 fn a_restart_that_another_balancer_heard_of_ends_no_flow() {
     struct RestartCase {
@@ -353,8 +353,8 @@
     }
 }
 
-/// Guards against resets of open flows by a balancer that started during a restart of their agent,
-/// so that nobody could tell it of the stop.
+// Guards against resets of open flows by a balancer that started during a restart of their agent,
+// so that nothing could notify it of the stop.
 #[test]
 fn a_fresh_balancer_waits_for_agents_that_it_has_never_heard() {
     struct FreshCase {
@@ -415,8 +415,8 @@
     }
 }
 
-/// Guards against stops that are relayed by balancers that only heard of them from others, and so
-/// never expire.
+// Guards against stops that never expire, because balancers relay stops that they only know from
+// other balancers.
 #[test]
 fn only_directly_announced_stops_are_relayed() {
     let balancer = FlowBalancer::new(balancer());
@@ -437,8 +437,8 @@
     assert_eq!(balancer.direct_stops(at(1_000)), [], "it is back");
 }
 
-/// Guards against clients that wait for dead targets for longer than two seconds after the store
-/// has recovered.
+// Guards against clients that wait for dead targets for longer than two seconds after the store has
+// recovered.
 #[test]
 fn a_dead_targets_flows_are_reported_two_seconds_after_the_store_recovers() {
     struct ReturnCase {
--- a/crates/flows/tests/all/relay.rs
+++ b/crates/flows/tests/all/relay.rs
@@ -49,9 +49,9 @@
     }
 }
 
-// A flow opens, then its balancer's zone and its target's zone are cut off from each other, and the
-// client sends its request. If the balancer knows only one path to the agent, a filing waits for as
-// long as the cut lasts, and fails.
+// Guards against a filing that waits for as long as two zones are cut off from each other, and then
+// fails. A flow opens, the cut separates its balancer's zone from its target's, and the client
+// sends its request; the balancer needs a second path to the agent.
 #[test]
 fn a_packet_for_a_silent_agent_goes_through_a_third_zone_as_well() {
     let view = three_zones();
@@ -102,8 +102,8 @@
     assert_eq!(relay_of(step), None);
 }
 
-// A relay must check what it forwards: otherwise a packet circulates between agents, or a flow
-// opens that no balancer placed.
+// Guards against packets that circulate between agents, and against flows that open without having
+// been placed by a balancer, because a relay does not check what it forwards.
 #[test]
 fn only_packets_of_known_flows_are_relayed_and_only_once() {
     let known = PacketFrame::new(FramePurpose::Known, claims(), balancer());
--- a/crates/flows/tests/all/search.rs
+++ b/crates/flows/tests/all/search.rs
@@ -77,8 +77,9 @@
     }
 }
 
-// Targets restart after a power loss, and clients keep sending on flows that are gone. If a search
-// for them just ends in silence, each client loses one request to its deadline.
+// Guards against clients that each lose one request to its deadline. Targets restart after a power
+// loss, clients keep sending on flows that are gone, and the searches for these flows end without a
+// result.
 #[test]
 fn a_flow_that_nobody_holds_is_reset() {
     let view = claims_view(3);
@@ -106,8 +107,9 @@
     absent: &'static [u8],
 }
 
-// A balancer whose view lacks a target queries all others. If a search that could not have found
-// the flow counts as proof of its loss, a client's open feed is reset while its target lives.
+// Guards against the reset of a client's open feed while its target lives. A balancer whose view
+// lacks that target queries all others; a search that could not have found the flow does not prove
+// that it is lost.
 #[test]
 fn a_flow_is_reset_only_when_nobody_else_can_hold_it() {
     let mut troubled = builder();
@@ -166,9 +168,9 @@
     }
 }
 
-// Another writer's entry is in the store: it reads like a target's, of a service that no
-// configuration names, at an address where nobody listens. If this silent target counts as a
-// possible holder, no lost flow is reported for as long as it is listed.
+// Guards against lost flows that are not reported for as long as another writer's entry is in the
+// store. It reads like a target's, of a service that no configuration names, at an address where
+// nothing listens, and must not count as a possible holder.
 #[test]
 fn an_entry_of_an_unnamed_service_does_not_delay_a_search() {
     let mut catalog = catalog(vec![target(1, "claims"), target(2, "elsewhere")]);
@@ -181,9 +183,9 @@
     assert!(balancer.handle_flow_update(&update, at(1)).reset.is_some());
 }
 
-// After a power loss, seventy clients send on flows that are gone. If each packet is shown to all
-// 54 agents, each of which answers, and again for every packet, small balancers are busy with
-// searches for seconds and new flows wait.
+// Guards against small balancers that are busy with searches for seconds while new flows wait.
+// After a power loss seventy clients send on flows that are gone; if each packet is shown to all 54
+// agents, each of them answers, and again for every packet.
 #[test]
 fn a_medium_fleet_is_queried_in_two_phases() {
     let view = claims_view(40);
@@ -210,10 +212,10 @@
     assert!(reports_absent(last, 602).is_some());
 }
 
-// Targets are replaced, so that a flow's target is no longer among its sixteen candidates, one of
-// which is dead; then the flow moves to another balancer. If the other holders are queried only
-// after all candidates have answered, or never for packets without data, the packets do not reach
-// the flow's target for seconds.
+// Guards against packets that do not reach their flow's target for seconds. Targets are replaced,
+// so the flow's target is no longer among its sixteen candidates, one of which is dead; then the
+// flow moves to another balancer. The other holders must not be queried only after all candidates
+// have answered, nor only for packets with data.
 #[test]
 fn a_dead_candidate_does_not_hold_up_the_second_step() {
     let view = claims_view(40);
@@ -268,9 +270,9 @@
     lengths.sum()
 }
 
-// Clients send on hundreds of flows that are gone. If searches have no limit, or one that counts
-// queries whatever their size, a link of 11 Mbit/s is saturated after a power loss, answers come
-// late, everything is sent again, and the balancer is late for ten seconds.
+// Guards against a link of 11 Mbit/s that is saturated after a power loss: clients send on hundreds
+// of flows that are gone, answers come late, everything is sent again, and the balancer is late for
+// ten seconds. Limiting the number of queries whatever their size does not prevent this.
 #[test]
 fn searches_have_a_budget_of_bytes() {
     let view = claims_view(40);
@@ -303,9 +305,9 @@
     assert!((100_000..210_000).contains(&second), "{second} bytes");
 }
 
-// A balancer stops, and a client in the middle of a download sends dozens of acknowledgements
-// through another one. If each packet starts a search, an agent gets a thousand searches per
-// second.
+// Guards against agents that get a thousand searches per second: a balancer stops, and a client in
+// the middle of a download sends dozens of acknowledgements through another one, each of which
+// starts a search.
 #[test]
 fn acknowledgements_do_not_repeat_a_search() {
     let view = claims_view(3);
@@ -334,10 +336,10 @@
     shown(&single_query_frames(due))
 }
 
-// The candidates have all reported a flow as absent within some milliseconds, but the client
-// retransmits only 200 ms later. If the other holders are queried only with that packet, clients of
-// a fleet of forty targets learn of a lost flow after 200 or 600 ms following a power loss, and
-// some not before their deadlines.
+// Guards against clients in a fleet of forty targets that learn of a lost flow 200 or 600 ms late
+// after a power loss, and some not before their deadlines. The candidates all report the flow as
+// absent within some milliseconds, but the client retransmits only 200 ms later; the other holders
+// must be queried without waiting for that packet.
 #[test]
 fn other_holders_are_queried_once_all_candidates_report_absent() {
     let view = claims_view(40);
@@ -361,9 +363,9 @@
     assert_eq!(resets.len(), 1);
 }
 
-// A hundred clients send on flows that are gone. If a balancer shows each packet to 54 agents
-// itself, and each of these answers, a link of 11 Mbit/s drops datagrams for seconds after a power
-// loss, and new flows wait.
+// Guards against a link of 11 Mbit/s that drops datagrams for seconds after a power loss while new
+// flows wait: a hundred clients send on flows that are gone, the balancer shows each packet to 54
+// agents itself, and each of these answers.
 #[test]
 fn an_agent_that_was_just_heard_asks_the_others() {
     let view = claims_view(40);
@@ -487,9 +489,9 @@
     lost: bool,
 }
 
-// A target leaves and its entry is removed, and after a power loss all flows are searched for. All
-// agents but the one that left report them as absent. If a search waits for a machine that is gone,
-// no lost flow is reset for three seconds.
+// Guards against lost flows that are not reset for three seconds. A target leaves and its entry is
+// removed, and after a power loss all flows are searched for. All agents but the one that left
+// report them as absent, and a search must not wait for a machine that is gone.
 #[test]
 fn only_a_target_that_the_store_lists_holds_up_the_end_of_a_search() {
     let cases = [
@@ -530,9 +532,9 @@
     }
 }
 
-// All flows are searched for after a power loss, and a target that has just left is silent. If each
-// search queries it twice and waits again, every lost flow is reported 401 ms late for three
-// seconds, and a request in its last retry misses its deadline.
+// Guards against lost flows that are each reported 401 ms late for three seconds, so that a request
+// in its last retry misses its deadline. All flows are searched for after a power loss, a target
+// that has just left is silent, and each search queries it twice and waits again.
 #[test]
 fn a_silence_is_waited_for_once() {
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
@@ -562,9 +564,9 @@
     assert!(!lost(4, 510));
 }
 
-// As above, but the agent beside the target has announced its stop. A stopping agent may be about
-// to restart beside a living target, so its silence is proof only if the target is no longer
-// listed.
+// Guards against the same delay where the agent beside the target has announced its stop. A
+// stopping agent may be about to restart beside a living target, so its silence is proof only if
+// the target is no longer listed.
 #[test]
 fn an_agent_that_stopped_after_its_target_left_is_not_waited_for() {
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
@@ -588,10 +590,10 @@
     }
 }
 
-// The store recovers, and two seconds later views are complete. A target's entry vanishes within
-// six seconds of the failure, which proves nothing for two more; its agent stops, to restart beside
-// it. If searches take a lapsed target for one that is off the list for good, an open flow is reset
-// while its target lives.
+// Guards against the reset of an open flow while its target lives. The store recovers, and two
+// seconds later views are complete. A target's entry vanishes within six seconds of the failure,
+// which proves nothing for two more; its agent stops, to restart beside it. A search must not take
+// a lapsed target for one that has been off the list for long.
 #[test]
 fn the_silence_of_a_lapsed_target_proves_nothing() {
     let targets = |count| catalog((1..=count).map(|n| target(n, "claims")).collect());
@@ -645,10 +647,10 @@
     listed: u8,
 }
 
-// A balancer that has just started queries all holders, which report the flow as absent within two
-// milliseconds. A little later it learns that the store had no failure. If the search does not
-// resume in the complete view, clients hear only with their third or fourth retransmission that a
-// flow is lost, or not before their deadlines.
+// Guards against clients that learn only with their third or fourth retransmission that a flow is
+// lost, or not before their deadlines. A balancer that has just started queries all holders, which
+// report the flow as absent within two milliseconds; a little later it learns that the store had no
+// failure, and the search must resume in the complete view.
 #[test]
 fn a_search_ends_when_the_view_turns_out_to_be_complete() {
     let cases = [
@@ -689,10 +691,10 @@
     }
 }
 
-// A balancer that has just started reads a list that lacks the flow's target, and all others report
-// the flow as absent. The target is listed a moment later, and the client sends again. If the
-// inconclusive search is continued with the agents that have not answered, of which there are none,
-// an open flow's packets reach no target for two seconds.
+// Guards against an open flow whose packets reach no target for two seconds. A balancer that has
+// just started reads a list that lacks the flow's target, and all others report the flow as absent.
+// The target is listed a moment later, and the client sends again. The inconclusive search must not
+// be continued with the agents that have not answered, of which there are none.
 #[test]
 fn a_search_that_proved_nothing_begins_again_with_the_next_packet() {
     let mut builder = builder();
--- a/crates/flows/tests/all/search_silence.rs
+++ b/crates/flows/tests/all/search_silence.rs
@@ -44,10 +44,10 @@
     builder.build(at(0))
 }
 
-// Some machines never come back after a power loss. The store lists their targets for three
-// heartbeats; then they are off the list and known to be gone. If searches wait for listed silent
-// agents whatever can still be delivered to them, no lost flow is reported for 1.2 s; if the second
-// phase ignores what is known of a silence, each is reported 150 ms late for three more seconds.
+// Guards against lost flows that are not reported for 1.2 s, and then 150 ms late for three more
+// seconds. Some machines never come back after a power loss; the store lists their targets for
+// three heartbeats, then they are known to be gone. Searches must not wait for listed silent agents
+// to which nothing can be delivered, and the second phase must use what is known of a silence.
 #[test]
 fn a_silent_agent_holds_up_the_first_search_only() {
     let gone = SilenceCase {
@@ -136,9 +136,9 @@
     }
 }
 
-// An agent is restarted as planned and is away for 0.8 s, and a balancer that has never heard of
-// its feed searches for it. If a silence counts as lasting before a restart could have ended, an
-// open feed is reset while its target lives.
+// Guards against the reset of an open feed while its target lives. Its agent is restarted as
+// planned and is away for 0.8 s, and a balancer that has never heard it searches for the feed. A
+// silence must not count as lasting before a restart could have ended.
 #[test]
 fn an_agent_that_is_started_again_is_asked_again() {
     for away in [300, 600, 900] {
@@ -176,10 +176,10 @@
     assert_eq!(fleet.query_count(agent(7)), 2);
 }
 
-// Some agents stopped with their targets just before all processes were killed beside living
-// targets. A flow's target is no longer among its candidates, but such a silent agent is. If the
-// second phase waits for it as long as for a late answer, the first request on each open flow takes
-// 150 ms longer for five seconds.
+// Guards against 150 ms more for the first request on each open flow, for five seconds. All
+// processes were killed beside living targets, and some agents had stopped with their targets just
+// before. A flow's target is no longer among its candidates, but such a silent agent is; the second
+// phase must not wait for it as long as for a late answer.
 #[test]
 fn the_second_step_waits_as_long_as_the_others_took() {
     for (took, silent, limit) in [
--- a/crates/flows/tests/all/search_size.rs
+++ b/crates/flows/tests/all/search_size.rs
@@ -47,10 +47,10 @@
     former: bool,
 }
 
-// All 136 targets restart under other names after a power loss, and for three heartbeats the store
-// lists their former starts beside them. If a search counts both, finds more than 256, and silently
-// stops at the flow's candidates, no lost flow is reported for four and a half seconds, and each
-// client waits for its deadline.
+// Guards against lost flows that are not reported for four and a half seconds, while each client
+// waits for its deadline. All 136 targets restart under other names after a power loss, and for
+// three heartbeats the store lists their former starts beside them. A search that counts both finds
+// more than 256, and must not silently stop at the flow's candidates.
 #[test]
 fn a_lost_flow_is_reported_at_any_fleet_size_after_a_restart_of_all() {
     let case = |name, targets, former| FleetRestartCase {
@@ -87,9 +87,10 @@
     }
 }
 
-// In a fleet of hundreds, all agents but one have reported a flow as absent; that one is cut off,
-// and its target is listed. If a large fleet's search ends before all agents have answered, on a
-// route whose requests may run only once, a filing in progress is cut off while its target lives.
+// Guards against a filing in progress that is cut off while its target lives. In a fleet of
+// hundreds, all agents but one have reported a flow as absent; that one is cut off, and its target
+// is listed. On a route whose requests may run only once, the search must not end before all agents
+// have answered.
 #[test]
 fn one_listed_agent_that_is_silent_keeps_a_flow_of_a_large_fleet() {
     let mut catalog = catalog(fleet(500, 0..1));
@@ -105,8 +106,8 @@
     }
 }
 
-// A search would have to query more agents than its budget of bytes allows. If it just ends, lost
-// flows are not reported, and no log says why.
+// Guards against lost flows that are not reported while no log says why: a search would have to
+// query more agents than its budget of bytes allows, and just ends.
 #[test]
 fn a_search_that_can_never_query_all_holders_is_abandoned_once() {
     let mut builder = builder();
@@ -137,9 +138,9 @@
     most: usize,
 }
 
-// Hundreds of clients send on flows that are gone after a power loss, and each flow is searched
-// for. If the budget assumes a link of 11 Mbit/s, searches saturate a link of 2.9 Mbit/s, and the
-// balancer answers nobody for seconds.
+// Guards against searches that saturate a link of 2.9 Mbit/s, so that the balancer answers nobody
+// for seconds. Hundreds of clients send on flows that are gone after a power loss, each flow is
+// searched for, and the budget assumes a link of 11 Mbit/s.
 #[test]
 fn searches_fill_a_part_of_the_link_that_there_is() {
     let cases = [
--- a/crates/flows/tests/all/view.rs
+++ b/crates/flows/tests/all/view.rs
@@ -97,8 +97,8 @@
     assert!(builder.build(at(7_100)).is_complete());
 }
 
-/// Guards against lost flows of dead targets that are reported later than two seconds after the
-/// store recovers.
+// Guards against lost flows of dead targets that are reported later than two seconds after the
+// store recovers.
 #[test]
 fn a_view_is_complete_two_seconds_after_the_store_recovers() {
     let mut builder = builder();
--- a/crates/flows/tests/all/warmup.rs
+++ b/crates/flows/tests/all/warmup.rs
@@ -115,9 +115,9 @@
     interval_ms: u64,
 }
 
-// Symptom: requests take seconds at targets that were added a moment ago. Sequence: a burst arrives while
-// they are cold. Cause: nothing limited what a cold target was given. The limit holds in every sliding window
-// of a second, not only in seconds aligned to a clock.
+// Guards against requests that take seconds at targets that were added a moment ago: a burst
+// arrives while they are cold, and nothing limits what they are given. The limit holds in every
+// sliding window of a second, not only in seconds aligned to a clock.
 #[test]
 fn a_cold_target_gets_no_more_than_its_limit_in_any_second() {
     let cases = [
@@ -176,9 +176,9 @@
     }
 }
 
-// Symptom: a target crashes, restarts, and is cold for longer than its agent assumes. Sequence: it returns the
-// packets of its flows; for a second no flow is offered to it; it is back, and answers. Cause: the cold period
-// was counted from its end.
+// Guards against a target that crashes, restarts, and is cold for longer than its agent assumes. It
+// returns the packets of its flows; for a second no flow is offered to it; it is back, and answers.
+// The cold period counts from when it is heard again, not from its end.
 #[test]
 fn a_crashed_target_is_cold_from_when_it_is_heard_again() {
     let mut flow_agent = settled_agent();
@@ -192,9 +192,10 @@
     assert_eq!(delivered_count(&mut flow_agent, 100, warm, 5_100), 100);
 }
 
-// Symptom: a target that has just started gets a rush. Sequence: its zone is evacuated, so nothing is sent there; it
-// restarts while the store is unavailable, so its new entry cannot be read; the zone comes back. Cause: a target
-// that is sent nothing cannot return anything, and its silence counted as health.
+// Guards against a rush at a target that has just started. Its zone is evacuated, so nothing is
+// sent there; it restarts while the store is unavailable, so its new entry cannot be read; the zone
+// comes back. A target that is sent nothing cannot return anything, so its silence is no sign of
+// health.
 #[test]
 fn a_quiet_target_may_have_restarted() {
     let mut flow_agent = settled_agent();
@@ -213,8 +214,8 @@
     assert_eq!(delivered_count(&mut flow_agent, 100, warm, 3_800), 100);
 }
 
-// Symptom: a cold target with many slots gets more flows in a second than allowed. Sequence: the limit is lower than
-// the number of its slots. Cause: it was given as many at once as it has slots.
+// Guards against a cold target with many slots that gets more flows in a second than allowed: the
+// limit is lower than the number of its slots, and it is given as many at once as it has slots.
 #[test]
 fn a_target_with_many_slots_gets_no_more_than_allowed() {
     let mut flow_agent = settled_agent();
@@ -256,8 +257,8 @@
     delivered: usize,
 }
 
-// Symptom: a cold target gets a rush although its agent knows the limit. Cause: the agent waited for the
-// target's store entry to say that it is cold, or took missing information as proof that it is not.
+// Guards against a rush at a cold target whose agent knows the limit, but waits for the target's
+// store entry to say that it is cold, or takes missing information as proof that it is not.
 #[test]
 fn a_target_counts_as_cold_while_it_may_be_cold() {
     let warm = limit(20.0, 0);
@@ -344,9 +345,10 @@
     }
 }
 
-// Symptom: a cold target gets twice its limit. Sequence: its agent is killed and restarts 300 ms later. Cause:
-// the new process did not know what its predecessor had admitted. Until it can know, it neither delivers
-// nor refuses a flow that no other agent can take: its client's next copy arrives in time.
+// Guards against a cold target that gets twice its limit: its agent is killed and restarts 300 ms
+// later, and the new process does not know what its predecessor admitted. Until it can know, it
+// neither delivers nor refuses a flow that no other agent can take: its client's next copy arrives
+// in time.
 #[test]
 fn an_agent_that_has_just_started_assumes_the_worst() {
     let cold = limit(20.0, 1_500);
@@ -372,9 +374,9 @@
     assert_eq!(delivered_count(&mut flow_agent, 100, warm, 20), 100);
 }
 
-// Symptom: a cold target gets twice its limit. Sequence: the agent's process is paused after it has admitted flows
-// and before it has sent them; when it resumes it admits as many again. Cause: flows were counted by the time of
-// their admission.
+// Guards against a cold target that gets twice its limit: its agent's process is paused after it
+// has admitted flows and before it has sent them, and admits as many again when it resumes, because
+// flows count by the time of their admission.
 #[test]
 fn flows_count_by_when_they_were_sent() {
     for slots in [3, 30] {
@@ -408,9 +410,9 @@
     }
 }
 
-// Symptom: a cold target gets twice its limit. Sequence: it crashes during a rush; its clients send copies of
-// their first packets, which arrive when it has restarted. Cause: copies of packets that had been delivered
-// before were not counted against the limit.
+// Guards against a cold target that gets twice its limit: it crashes during a rush, its clients
+// send copies of their first packets, which arrive when it has restarted, and copies of packets
+// that were delivered before do not count.
 #[test]
 fn copies_of_unanswered_first_packets_count() {
     let mut flow_agent = settled_agent();
@@ -432,8 +434,8 @@
     );
 }
 
-// Symptom: a cold target gets twice its limit. Sequence: it cannot take flows for a second, and returns a rush of
-// first packets; then it can. Cause: returned packets were not counted.
+// Guards against a cold target that gets twice its limit: it cannot take flows for a second and
+// returns a rush of first packets, then it can, and returned packets do not count.
 #[test]
 fn a_first_packet_that_the_target_returned_counts() {
     let mut flow_agent = settled_agent();
@@ -478,8 +480,9 @@
     Some((limit.rate() as usize, limit.remaining().as_millis()))
 }
 
-// The age of an entry is counted by this process's own clock from when it was read, which errs on the safe
-// side. An entry that reports its target as cold again is trusted.
+// Guards against a cold target that is offered as warm. The age of an entry is counted by this
+// process's own clock from when it was read, which errs on the safe side; an entry that reports its
+// target as cold again is trusted.
 #[test]
 fn offers_carry_the_warmup_limit_and_its_remaining_time() {
     let flow_balancer = FlowBalancer::new(balancer());
@@ -530,8 +533,8 @@
     assert_eq!(offered_limit(&flow_balancer, &view, 6, at(9_100)), None);
 }
 
-// Symptom: targets of a zone whose evacuation ends are overloaded. Sequence: the evacuation leaves them cold;
-// their entries say so a second later. Cause: balancers relied on the entries alone.
+// Guards against overloaded targets of a zone whose evacuation ends. The evacuation leaves them
+// cold, and their entries say so a second later, so balancers must not rely on the entries alone.
 #[test]
 fn targets_of_a_zone_that_comes_back_are_offered_as_cold() {
     let flow_balancer = FlowBalancer::new(balancer());
@@ -563,8 +566,8 @@
     );
 }
 
-// Symptom: agents of cold targets forward most offers. Sequence: a few targets are added in a rush, and look
-// idle. Cause: balancers did not know that these targets had no room left in this second.
+// Guards against agents of cold targets that forward most offers: a few targets are added in a rush
+// and look idle, and balancers do not know that they have no room left in this second.
 #[test]
 fn a_target_without_room_is_no_first_choice() {
     let flow_balancer = FlowBalancer::new(balancer());
--- a/crates/flows/tests/all/zones.rs
+++ b/crates/flows/tests/all/zones.rs
@@ -401,9 +401,8 @@
     );
 }
 
-/// Guards against new flows in an evacuated zone when an isolated balancer, which may not know of
-/// the evacuation, makes offers to an agent that has just started and knows nothing about the
-/// zones.
+// Guards against new flows in an evacuated zone when an isolated balancer, which may not know of
+// the evacuation, makes offers to an agent that has just started and knows nothing about the zones.
 #[test]
 fn a_restarted_agent_refuses_offers_of_an_isolated_balancer() {
     struct CutOffCase {
@@ -463,8 +462,8 @@
     }
 }
 
-/// Guards against an agent that never learns of its zone's evacuation, because the only balancer
-/// that knows of it is isolated.
+// Guards against an agent that never learns of its zone's evacuation, because the only balancer
+// that knows of it is isolated.
 #[test]
 fn an_isolated_balancer_sends_notices_of_evacuated_zones_only() {
     let mut builder = builder();
