--- a/bins/agent/src/opaque/process.rs
+++ b/bins/agent/src/opaque/process.rs
@@ -45,7 +45,7 @@
     let common = &settings.common;
     let clock = ProcessClock::new();
     let agent_settings = AgentSettings {
-        own: AgentAddress(settings.advertised),
+        own_address: AgentAddress(settings.advertised),
         service: settings.service.id(),
         started_with_target: settings.first_start,
         flow_lifetime: common.flow_lifetime,
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -139,8 +139,8 @@
     /// Returns the changes since a head.
     #[must_use]
     pub fn delta_since(&self, head: &CatalogHead) -> CatalogDelta {
-        let held = self.head();
-        let config = (held.routes.revision > head.routes.revision).then(|| ConfigDelta {
+        let known = self.head();
+        let config = (known.routes.revision > head.routes.revision).then(|| ConfigDelta {
             version: self.catalog.version,
             idle_timeout: self.catalog.idle_timeout,
             unrouted: self.catalog.unrouted.to_vec(),
@@ -148,11 +148,11 @@
                 .routes
                 .delta_since(&self.catalog.routes, head.routes.revision),
         });
-        let targets = (held.targets.revision > head.targets.revision).then(|| {
+        let targets = (known.targets.revision > head.targets.revision).then(|| {
             self.targets
                 .delta_since(&self.catalog.targets, head.targets.revision)
         });
-        let zones = (held.zones.revision > head.zones.revision).then(|| {
+        let zones = (known.zones.revision > head.zones.revision).then(|| {
             self.zones
                 .delta_since(&self.catalog.evacuated, head.zones.revision)
         });
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -5,7 +5,7 @@
 //! store answers, messages and the time; its outputs are store calls, messages and new catalogs.
 //!
 //! ```text
-//! store ----(two elected readers)----> balancer <---heads, asks, answers---> balancer
+//! store ----(two elected readers)----> balancer <---Head, Ask, Answer----> balancer
 //!                                           |
 //!                                        Catalog: routes, targets, evacuated zones
 //! ```
--- a/crates/catalog/src/member.rs
+++ b/crates/catalog/src/member.rs
@@ -29,13 +29,13 @@
 /// so at most twenty small datagrams go to each of three seeds.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an unanswered ask blocks the next one.
+/// How long an unanswered [`CatalogMessage::Ask`] blocks the next one.
 const ASK_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long a new process waits for other balancers before it calls the store: usually a single
-/// process starts, and the others can send it everything without a call. An ask and its answer take
-/// 2 to 4 ms. After a power loss, nothing is served during this wait: a tenth of a second costs one
-/// request in five hundred of that minute.
+/// process starts, and the others can send it everything without a call. An `Ask` and its answer
+/// take 2 to 4 ms. After a power loss, nothing is served during this wait: a tenth of a second
+/// costs one request in five hundred of that minute.
 const FIRST_CALL_DELAY: Duration = Duration::from_millis(8);
 
 /// Jitter of the first calls of processes that start together.
@@ -81,7 +81,7 @@
     StoreFailed(StoreFailure),
     /// The store answers again.
     StoreRecovered,
-    /// The number of living balancers changed, this one included.
+    /// The number of live balancers changed, this one included.
     Members(usize),
 }
 
@@ -95,11 +95,11 @@
         /// The message to send.
         message: CatalogMessage,
     },
-    /// Send an ask over a stream and pass the answer to [`CatalogMember::accept`].
+    /// Send an `Ask` over a stream and pass the answer to [`CatalogMember::accept`].
     AskByStream {
-        /// Gossip address of the balancer to ask.
+        /// Gossip address of the receiver.
         to: SocketAddrV4,
-        /// The ask, which is the first message on the stream.
+        /// The [`CatalogMessage::Ask`], which is the first message on the stream.
         ask: CatalogMessage,
     },
     /// Call the store and pass the result to [`CatalogMember::store_answered`].
@@ -127,7 +127,7 @@
     pub version: ConfigRevision,
     /// Time since the store last confirmed the catalog; `None` if never.
     pub age: Option<Duration>,
-    /// Number of living balancers, this one included.
+    /// Number of live balancers, this one included.
     pub members: usize,
     /// Whether this balancer is an elected reader of the store.
     pub reader: bool,
@@ -156,7 +156,7 @@
     called_at: Moment,
     next_head_at: Moment,
     asked_at: Option<Moment>,
-    /// Whether the next ask requests the full tables because a delta did not fit.
+    /// Whether the next `Ask` requests the full tables because a delta did not fit.
     ask_full: bool,
     store_failing: bool,
     leaving: bool,
@@ -207,23 +207,23 @@
         }
     }
 
-    /// Whether the catalog suffices to serve. Never becomes false again: without the store, the
-    /// catalog held is still the best one available.
+    /// Returns whether the catalog suffices to serve. Never becomes false again: without the store,
+    /// the catalog held is still the best one available.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Whether this process can know of failures of the store before its start: it has heard
-    /// another balancer, or there seems to be none.
+    /// Returns whether this process can know of failures of the store before its start: it has
+    /// heard another balancer, or there seems to be none.
     #[must_use]
     pub fn is_informed(&self, now: Moment) -> bool {
         self.peers.alive_count(now) > 0 || now.since(self.started) >= DISCOVERY_TIMEOUT
     }
 
-    /// Whether this process has heard neither the store nor another balancer for so long that it
-    /// may have missed a change of the evacuated zones. A balancer that knows no other one is not
-    /// cut off.
+    /// Returns whether this process has heard neither the store nor another balancer for so long
+    /// that it may have missed a change of the evacuated zones. A balancer that knows no other one
+    /// is not cut off.
     #[must_use]
     pub fn is_cut_off(&self, now: Moment) -> bool {
         let is_stale = self.age(now).is_some_and(|age| age >= CUT_OFF_AGE);
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Returns the answer to an ask of a balancer that holds `head`.
+    /// Returns the answer to an `Ask` of a balancer that holds `head`.
     #[must_use]
     pub fn answer_to(&self, head: &CatalogHead, now: Moment) -> CatalogMessage {
         CatalogMessage::Answer {
@@ -453,8 +453,8 @@
             self.peers.record_status(status, &mut self.random, now);
         }
         self.last_failure = self.last_failure.max(message.trouble.map(|age| now - age));
-        let (held, offered) = (self.tables.head(), message.head);
-        if offered == held {
+        let (known, offered) = (self.tables.head(), message.head);
+        if offered == known {
             self.confirm(message.age, now);
             return;
         }
@@ -462,24 +462,24 @@
             self.notice(CatalogNotice::Conflict(message.sender));
             self.reader.list_again();
         }
-        let newer = offered.routes.revision > held.routes.revision
-            || offered.targets.revision > held.targets.revision
-            || offered.zones.revision > held.zones.revision;
+        let newer = offered.routes.revision > known.routes.revision
+            || offered.targets.revision > known.targets.revision
+            || offered.zones.revision > known.zones.revision;
         if newer {
             self.ask(message.sender, now);
             return;
         }
-        // The sender lags; it will ask when it receives this head.
+        // The sender lags; it will send an `Ask` when it receives this head.
         let reply = CatalogMessage::Head(self.head_message(now));
         self.send(message.sender, reply);
     }
 
     fn is_conflict(&self, offered: &CatalogHead) -> bool {
-        let held = self.tables.head();
+        let known = self.tables.head();
         let differs = |a: TableHead, b: TableHead| a.revision == b.revision && a.digest != b.digest;
-        differs(held.routes, offered.routes)
-            || differs(held.targets, offered.targets)
-            || differs(held.zones, offered.zones)
+        differs(known.routes, offered.routes)
+            || differs(known.targets, offered.targets)
+            || differs(known.zones, offered.zones)
     }
 
     fn ask(&mut self, peer: SocketAddrV4, now: Moment) {
@@ -549,7 +549,7 @@
     }
 
     fn record_confirmation(&mut self, at: Moment) {
-        self.confirmed_at = Some(self.confirmed_at.map_or(at, |held| held.max(at)));
+        self.confirmed_at = Some(self.confirmed_at.map_or(at, |known| known.max(at)));
         if self.store_recovered_at().is_none()
             && self.last_failure.is_some_and(|failure| at >= failure)
         {
@@ -562,8 +562,8 @@
         // decision.
         let head = self.tables.head();
         let known = head.routes.revision > 0 && head.zones.revision > 0;
-        let fresh = self.age(now).is_some_and(|age| age <= MAX_READY_AGE);
-        self.ready |= known && fresh;
+        let is_recent = self.age(now).is_some_and(|age| age <= MAX_READY_AGE);
+        self.ready |= known && is_recent;
     }
 
     fn age(&self, now: Moment) -> Option<Duration> {
@@ -644,7 +644,7 @@
     }
 
     fn head_message(&mut self, now: Moment) -> HeadMessage {
-        let own = ReaderStatus {
+        let own_status = ReaderStatus {
             address: self.settings.gossip,
             age: Duration::ZERO,
             reads: self.reader.store_reachable(),
@@ -654,11 +654,11 @@
             sender: self.settings.gossip,
             head: self.tables.head(),
             age: self.age(now).unwrap_or(Duration::MAX),
-            reads: own.reads,
+            reads: own_status.reads,
             trouble: self.last_failure.map(|at| now.since(at)),
-            leaving: own.leaving,
+            leaving: own_status.leaving,
             peers: self.peers.sample(now, &mut self.random),
-            readers: self.peers.reader_statuses(&own, now),
+            readers: self.peers.reader_statuses(&own_status, now),
         }
     }
 
--- a/crates/catalog/src/message.rs
+++ b/crates/catalog/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages between balancers about the catalog.
 //!
 //! ```text
-//! UDP  Head     every half second and after each change: held state and its last confirmation
-//! UDP  Ask  ->  held state; requests everything newer
+//! UDP  Head     every half second and after each change: known state and its last confirmation
+//! UDP  Ask  ->  known state; requests everything newer
 //! UDP  <- Answer | TooLarge
 //! TCP  Ask  ->  <- Answer      for an answer that does not fit a datagram
 //! UDP  Stops    agents that announced that they are stopping
@@ -108,7 +108,7 @@
         /// The state that the requester holds.
         head: CatalogHead,
     },
-    /// The answer to an ask.
+    /// The answer to an [`Ask`](Self::Ask).
     Answer {
         /// Gossip address of the responder.
         sender: SocketAddrV4,
@@ -120,7 +120,8 @@
         /// The changes since the requested head.
         delta: Box<CatalogDelta>,
     },
-    /// The answer does not fit a datagram; the requester must ask over a stream.
+    /// The answer does not fit a datagram; the requester must repeat its [`Ask`](Self::Ask) over a
+    /// stream.
     TooLarge {
         /// Gossip address of the responder.
         sender: SocketAddrV4,
--- a/crates/catalog/src/peers.rs
+++ b/crates/catalog/src/peers.rs
@@ -68,18 +68,18 @@
     leaving: bool,
 }
 
-/// Invariant: never contains `own`.
+/// The other balancers that this one knows. Invariant: never contains `own_address`.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerTable {
-    own: SocketAddrV4,
+    own_address: SocketAddrV4,
     seeds: SmallVec<[SocketAddrV4; 3]>,
     peers: BTreeMap<SocketAddrV4, PeerEntry>,
 }
 
 impl PeerTable {
-    pub(crate) fn new(own: SocketAddrV4, seeds: &[SocketAddrV4]) -> Self {
+    pub(crate) fn new(own_address: SocketAddrV4, seeds: &[SocketAddrV4]) -> Self {
         let mut table = Self {
-            own,
+            own_address,
             seeds: SmallVec::new(),
             peers: BTreeMap::new(),
         };
@@ -89,7 +89,7 @@
 
     pub(crate) fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         let others = seeds.iter().copied();
-        self.seeds = others.filter(|&seed| seed != self.own).collect();
+        self.seeds = others.filter(|&seed| seed != self.own_address).collect();
     }
 
     pub(crate) fn record_head(
@@ -100,7 +100,7 @@
         random: &mut SmallRng,
         now: Moment,
     ) {
-        if peer == self.own {
+        if peer == self.own_address {
             return;
         }
         self.evict_for(peer, random);
@@ -116,7 +116,7 @@
 
     /// Records that another balancer knows `peer`.
     pub(crate) fn record_mention(&mut self, peer: SocketAddrV4, now: Moment) {
-        if peer == self.own || self.is_full(peer) {
+        if peer == self.own_address || self.is_full(peer) {
             return;
         }
         let entry = self.peers.entry(peer).or_insert(PeerEntry {
@@ -136,7 +136,7 @@
         random: &mut SmallRng,
         now: Moment,
     ) {
-        if status.address == self.own {
+        if status.address == self.own_address {
             return;
         }
         let active_at = now - status.age;
@@ -162,7 +162,7 @@
     /// Returns the known status of the lowest-ranked balancers, this one included.
     pub(crate) fn reader_statuses(
         &self,
-        own: &ReaderStatus,
+        own_status: &ReaderStatus,
         now: Moment,
     ) -> SmallVec<[ReaderStatus; HEAD_READERS]> {
         let ttl = self.status_ttl(None, now);
@@ -173,7 +173,7 @@
             reads: peer.reads,
             leaving: peer.leaving,
         });
-        let mut statuses: Vec<ReaderStatus> = others.chain([*own]).collect();
+        let mut statuses: Vec<ReaderStatus> = others.chain([*own_status]).collect();
         statuses.sort_by_key(|status| rank(status.address));
         statuses.into_iter().take(HEAD_READERS).collect()
     }
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Whether the fleet is so large that heads go to a few random peers.
+    /// Returns whether the fleet is so large that heads go to a few random peers.
     pub(crate) fn is_large(&self, now: Moment) -> bool {
         self.known_count(now) > SMALL_FLEET_FANOUT
     }
@@ -248,7 +248,7 @@
             .map(|(&address, peer)| (address, peer))
     }
 
-    /// Whether any other balancer was heard or mentioned recently, or is a configured seed.
+    /// Returns whether any other balancer was heard or mentioned recently, or is a configured seed.
     pub(crate) fn knows_others(&self) -> bool {
         !self.peers.is_empty() || !self.seeds.is_empty()
     }
@@ -268,7 +268,7 @@
         age: Option<Duration>,
         now: Moment,
     ) -> Option<usize> {
-        let own_rank = (!store_reachable, rank(self.own));
+        let own_rank = (!store_reachable, rank(self.own_address));
         let ttl = self.status_ttl(age, now);
         let candidates = self.active_within(ttl, now);
         let candidates = candidates.filter(|(_, peer, _)| !peer.leaving);
@@ -294,7 +294,7 @@
             .collect()
     }
 
-    /// Returns a random sample of living balancers for a head.
+    /// Returns a random sample of live balancers for a head.
     pub(crate) fn sample(&self, now: Moment, random: &mut SmallRng) -> SmallVec<[SocketAddrV4; 4]> {
         self.alive(now)
             .map(|(address, _)| address)
--- a/crates/catalog/src/reader.rs
+++ b/crates/catalog/src/reader.rs
@@ -2,7 +2,7 @@
 //!
 //! Every call is charged, including a waiting watch and a refused call, so two elected balancers
 //! read for all. If only those ever read, no balancer would learn of a change while both are cut
-//! off from a store that serves the others. Such a state shows when no head has carried a fresh
+//! off from a store that serves the others. This is detected when no head has carried a recent
 //! confirmation for [`STALE_AGE`]. Other balancers then start to read as fallback readers, each
 //! with a probability that grows with time, so that a large fleet does not call all at once.
 
@@ -28,7 +28,7 @@
 /// is charged; a change is still in force well within the 3 s that it may take.
 const CHANGE_DELAY: Duration = Duration::from_millis(250);
 
-/// Time after the store's recovery within which every living target is listed again: the users name
+/// Time after the store's recovery within which every live target is listed again: the users name
 /// about two seconds for the entries that expired during the failure.
 pub const RECOVERY_WINDOW: Duration = Duration::from_secs(2);
 
@@ -85,7 +85,7 @@
     pub(crate) holds_catalog: bool,
     /// Time since the store last confirmed the catalog; `None` if never.
     pub(crate) age: Option<Duration>,
-    /// Number of known living balancers, this one included.
+    /// Number of known live balancers, this one included.
     pub(crate) members: usize,
     /// Whether the fleet is so large that changes take several rounds of heads to spread.
     pub(crate) is_large: bool,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether the store answers this process, as far as it knows.
+    /// Returns whether the store answers this process, as far as it knows.
     pub(crate) fn store_reachable(&self) -> bool {
         !self.failed
     }
--- a/crates/catalog/tests/all/member.rs
+++ b/crates/catalog/tests/all/member.rs
@@ -534,21 +534,21 @@
     ];
     for case in cases {
         let mut group = Group::settled(case.balancers, Duration::from_secs(5));
-        let own = case.balancers;
-        if own == 1 {
-            group.node(own).member.set_seeds(&[address(own)]);
+        let last = case.balancers;
+        if last == 1 {
+            group.node(last).member.set_seeds(&[address(last)]);
         }
-        group.node(own).store_cut = case.store_cut;
-        group.node(own).peers_cut = case.peers_cut;
+        group.node(last).store_cut = case.store_cut;
+        group.node(last).peers_cut = case.peers_cut;
         group.run(Duration::from_secs(4));
         let now = group.now;
-        let cut_off = group.node(own).member.is_cut_off(now);
+        let cut_off = group.node(last).member.is_cut_off(now);
         assert_eq!(cut_off, case.expected, "{}", case.name);
         // It ends as soon as the store or another balancer is heard again.
-        group.node(own).store_cut = false;
-        group.node(own).peers_cut = false;
+        group.node(last).store_cut = false;
+        group.node(last).peers_cut = false;
         group.run(Duration::from_secs(2));
         let now = group.now;
-        assert!(!group.node(own).member.is_cut_off(now), "{}", case.name);
+        assert!(!group.node(last).member.is_cut_off(now), "{}", case.name);
     }
 }
--- a/crates/catalog/tests/all/readers.rs
+++ b/crates/catalog/tests/all/readers.rs
@@ -1,7 +1,7 @@
 //! Tests of the reader election in fleets of any size.
 //!
-//! Load pattern: calls to the store are charged, including refused ones, and a fleet of thousands
-//! must not make more of them than a fleet of six.
+//! Calls to the store are charged, including refused ones, and a fleet of thousands must not make
+//! more of them than a fleet of six.
 
 use std::time::Duration;
 
--- a/crates/catalog/tests/all/stops.rs
+++ b/crates/catalog/tests/all/stops.rs
@@ -1,5 +1,5 @@
-//! Load pattern: planned restarts of agents that notify only the balancers that sent to them
-//! recently.
+//! Tests of the distribution of stop announcements: at a planned restart, an agent notifies only
+//! the balancers that sent to it recently.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
--- a/crates/catalog/tests/all/zones.rs
+++ b/crates/catalog/tests/all/zones.rs
@@ -1,5 +1,5 @@
-//! Load pattern: the operator evacuates zones and ends evacuations while readers die, the store
-//! fails, and new processes start.
+//! Tests of the distribution of evacuated zones: the operator evacuates zones and ends evacuations
+//! while readers die, the store fails, and new processes start.
 
 use std::time::Duration;
 
--- a/crates/flows/benches/decision.rs
+++ b/crates/flows/benches/decision.rs
@@ -98,12 +98,12 @@
 fn known_flow(criterion: &mut Criterion) {
     let (balancer, view) = (balancer(), view(7));
     for port in 0..FLOWS {
-        let note = FlowUpdate {
+        let update = FlowUpdate {
             flow: packet(port, false).flow,
             event: FlowEvent::Opened,
             load: LoadReport::idle(agent(port % 7), service().id()),
         };
-        balancer.handle_flow_update(&note, Moment::ZERO);
+        balancer.handle_flow_update(&update, Moment::ZERO);
     }
     let mut port = 0;
     criterion.bench_function("known flow", |bencher| {
--- a/crates/flows/benches/memory.rs
+++ b/crates/flows/benches/memory.rs
@@ -110,7 +110,7 @@
     let (_, errors) = tables.apply_list(answer);
     assert!(errors.is_empty(), "{errors:?}");
     let held = HELD.load(Ordering::Relaxed) - before;
-    println!("catalog: {held} bytes, taken in {:?}", start.elapsed());
+    println!("catalog: {held} bytes, applied in {:?}", start.elapsed());
     let mut builder = FlowViewBuilder::new(ViewSettings {
         regions: Vec::new(),
         zone: "zone-0".parse().expect("a zone"),
@@ -138,7 +138,7 @@
     builder: &mut FlowViewBuilder,
 ) {
     let count = u32::try_from(events.len()).expect("few events");
-    let (mut taken, mut built) = (Duration::ZERO, Duration::ZERO);
+    let (mut applied, mut built) = (Duration::ZERO, Duration::ZERO);
     // The packet path holds the newest view until the next one replaces it.
     let mut view = builder.build(Moment::ZERO);
     for event in events {
@@ -148,7 +148,7 @@
             events: vec![(revision, event)],
             revision,
         });
-        taken += start.elapsed();
+        applied += start.elapsed();
         let start = Instant::now();
         let changes = tables.take_changes();
         builder.apply_changes(tables.catalog(), &changes, Moment::ZERO);
@@ -157,7 +157,7 @@
     }
     println!(
         "{what}: catalog {:?}, view {:?} ({:?})",
-        taken / count,
+        applied / count,
         built / count,
         view.counts()
     );
@@ -189,12 +189,12 @@
     let balancer = FlowBalancer::new(agent());
     for count in [0, 10_000, 100_000, 200_000] {
         for number in 0..count {
-            let note = FlowUpdate {
+            let update = FlowUpdate {
                 flow: flow(number),
                 event: FlowEvent::Opened,
                 load,
             };
-            balancer.handle_flow_update(&note, Moment::ZERO);
+            balancer.handle_flow_update(&update, Moment::ZERO);
         }
         let bytes = HELD.load(Ordering::Relaxed) - before;
         println!("balancer: {count} flows, {bytes} bytes");
@@ -202,7 +202,7 @@
     drop(balancer);
     let before = HELD.load(Ordering::Relaxed);
     let settings = AgentSettings {
-        own: agent(),
+        own_address: agent(),
         service: ServiceId(1),
         started_with_target: false,
         flow_lifetime: Duration::from_secs(60),
--- a/crates/flows/src/agent.rs
+++ b/crates/flows/src/agent.rs
@@ -1,8 +1,8 @@
 //! Decisions of an agent: which flows its target holds, and where packets of other flows go.
 //!
 //! The agent sees every packet to and from its target, so it knows the target's flows, unless it
-//! was started while the target was running. In that case it first delivers packets of unknown flows
-//! to its own target: the target holds the flow and answers, or returns the packet.
+//! was started while the target was running. In that case it first delivers packets of unknown
+//! flows to its own target: the target holds the flow and answers, or returns the packet.
 
 mod entry;
 mod health;
@@ -39,17 +39,18 @@
 /// How long a refused connection marks the target as down.
 const REFUSED_BACKOFF: Duration = Duration::from_secs(1);
 
-/// While nothing listens at the target's address, how often one new flow retries it: ten times a normal
-/// answer. Without this limit a whole rush was sent once a second to a target that was down, and each of
-/// these flows lost the time that its balancer waits for an answer.
+/// Interval at which one new flow retries the target while nothing listens at its address: ten
+/// times a normal response time. Without this limit a whole rush was sent once a second to a target
+/// that was down, and each of these flows lost the time that its balancer waits for an answer.
 const DOWN_TARGET_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A request without an answer for this long no longer counts as in progress: its caller has
 /// given up, possibly without closing the flow.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long a flow that has not opened counts as a request in progress. After that its client has taken
-/// another target's answer, or given up. A distant client opens it within some tens of milliseconds.
+/// How long a flow that has not opened counts as a request in progress. After that its client has
+/// accepted another target's answer, or given up. A distant client opens it within some tens of
+/// milliseconds.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time constant of the exponential moving average of the load.
@@ -58,11 +59,11 @@
 /// How long after its last packet a balancer receives load reports.
 const SUBSCRIBER_TTL: Duration = Duration::from_secs(5);
 
-/// Maximum number of balancers that receive a load report in one round, least recently notified first. This
-/// bounds what an agent sends: 8 reports of 40 bytes four times a second. An agent that is stopping notifies
-/// all of them in each round: a balancer that did not know took its silence for a failure, and reset open flows
-/// that the target still held. In a fleet of 59 balancers, two rounds of eight, which is all that a stop
-/// leaves time for, reached a third of them.
+/// Maximum number of balancers that receive a load report in one round, least recently notified
+/// first. This bounds what an agent sends: 8 reports of 40 bytes four times a second. An agent that
+/// is stopping notifies all of them in each round: a balancer that did not know took its silence
+/// for a failure, and reset open flows that the target still held. In a fleet of 59 balancers, two
+/// rounds of eight, which is all that a stop leaves time for, reached a third of them.
 const SUBSCRIBERS_PER_ROUND: usize = 8;
 
 /// Maximum number of balancers remembered as subscribers.
@@ -86,10 +87,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AgentSettings {
     /// The address at which the agent receives frames.
-    pub own: AgentAddress,
+    pub own_address: AgentAddress,
     /// The service of its target.
     pub service: ServiceId,
-    /// Whether the agent was started together with its target, and so sees every flow from its beginning.
+    /// Whether the agent was started together with its target, and so sees every flow from its
+    /// beginning.
     pub started_with_target: bool,
     /// The longest lifetime of a flow: after it the agent has seen the beginning of every flow.
     pub flow_lifetime: Duration,
@@ -100,18 +102,19 @@
 /// Why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DropReason {
-    /// Every agent on the packet's list was asked, and none holds the flow.
+    /// Every agent on the packet's list was tried, and none holds the flow.
     NoHolder,
     /// The target returned a packet of a flow that the agent does not know.
     UnknownFlow,
-    /// The target returned a packet that is no longer needed: a reset of a flow that is gone, or a late copy of
-    /// the first packet of a flow that has opened.
+    /// The target returned a packet that is no longer needed: a reset of a flow that is gone, or a
+    /// late copy of the first packet of a flow that has opened.
     FlowEnded,
-    /// The packet is a copy of a first packet, its flow is not known here, and the target's zone is evacuated.
+    /// The packet is a copy of a first packet, its flow is not known here, and the target's zone is
+    /// evacuated.
     ZoneEvacuated,
-    /// The target may be cold, and it may not be given the packet now: how much it was given before this agent
-    /// started is not known, or the packet is a copy of an unanswered first packet beyond the limit. The
-    /// client's next copy arrives when that has changed.
+    /// The target may be cold, so the packet is not delivered now: it is not known how much the
+    /// target was given before this agent started, or the packet is a copy of an unanswered first
+    /// packet beyond the limit. The client's next copy arrives when that has changed.
     ColdTarget,
 }
 
@@ -120,8 +123,8 @@
 pub enum AgentStep {
     /// Deliver it to the target.
     Deliver {
-        /// The tag that the target sends back if it returns the packet; 0 for a flow that the target is known
-        /// to hold.
+        /// The tag that the target sends back if it returns the packet; 0 for a flow that the
+        /// target is known to hold.
         tag: u32,
     },
     /// Send it to the next agent.
@@ -138,8 +141,8 @@
     },
     /// Send it to its client.
     ToClient,
-    /// Answer the client with a reset. For a flow that never opened, this means that nothing ran. For an
-    /// open flow, its target has lost it, and the client need not wait for its timeout.
+    /// Answer the client with a reset. For a flow that never opened, this means that nothing ran.
+    /// For an open flow, its target has lost it, and the client need not wait for its timeout.
     Reset,
     /// Drop it.
     Drop(DropReason),
@@ -161,7 +164,7 @@
 pub struct AgentStatus {
     /// The load that it reports to balancers.
     pub load: LoadReport,
-    /// Number of flows remembered, including closed ones.
+    /// Number of flows in its flow table, including closed ones.
     pub remembered: usize,
     /// Whether it knows every flow of its target.
     pub knows_all_flows: bool,
@@ -184,14 +187,15 @@
     average_updated: Moment,
     /// When the first packet was delivered that is the oldest since the target's last packet.
     unanswered_since: Option<Moment>,
-    /// Until when the target counts as not listening; [`Moment::ZERO`] after each packet of the target.
+    /// Until when the target counts as not listening; [`Moment::ZERO`] after each packet of the
+    /// target.
     refused_until: Moment,
     health: TargetHealth,
     zone: ZoneState,
     warmup: WarmupGate,
     leaving: bool,
     subscribers: HashMap<AgentAddress, ReportSubscriber>,
-    /// The response time of the last answered request, until it is taken.
+    /// The response time of the last answered request, until `take_response_time` returns it.
     response_time: Option<Duration>,
     delegated_searches: DelegatedSearches,
 }
@@ -252,8 +256,8 @@
         (notified, self.load(now))
     }
 
-    /// Applies a balancer's notice about the target's zone. Returns the age of the notice if it changed
-    /// whether the zone is evacuated.
+    /// Applies a balancer's notice about the target's zone. Returns the age of the notice if it
+    /// changed whether the zone is evacuated.
     pub fn handle_zone_notice(&mut self, notice: &ZoneNotice, now: Moment) -> Option<Duration> {
         let age = self.zone.apply(notice);
         if age.is_some() && !notice.evacuated {
@@ -333,9 +337,9 @@
         !timed_out && now >= self.refused_until
     }
 
-    /// Whether another target should be asked first. Balancers place by reports that are up to 250 ms
-    /// old, and several of them may choose the same target meanwhile; only the agent knows the exact
-    /// load.
+    /// Returns whether another target should be tried first. Balancers place by reports that are up
+    /// to 250 ms old, and several of them may choose the same target meanwhile; only the agent
+    /// knows the exact load.
     fn is_busy(&self, slots: u16) -> bool {
         self.in_progress >= slots.saturating_mul(BUSY_FACTOR).max(1)
     }
@@ -379,7 +383,7 @@
     fn load(&mut self, now: Moment) -> LoadReport {
         self.update_average(now);
         LoadReport {
-            agent: self.settings.own,
+            agent: self.settings.own_address,
             service: self.settings.service,
             in_progress: self.in_progress,
             flows: self.open,
--- a/crates/flows/src/agent/entry.rs
+++ b/crates/flows/src/agent/entry.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// A packet delivered to the target without knowing whether the target holds or takes the flow.
+/// A packet delivered to the target without knowing whether the target holds or accepts the flow.
 #[derive(Clone, Debug)]
 pub(super) struct TentativeDelivery {
     pub(super) tag: u32,
--- a/crates/flows/src/agent/health.rs
+++ b/crates/flows/src/agent/health.rs
@@ -1,15 +1,15 @@
 //! Detects a target that resets requests instead of answering them.
 //!
-//! Load pattern: a target accepts every flow and resets each one when a request arrives, while its
-//! store entry and its health endpoint report it healthy. It looks idle, so it attracts more new flows
-//! than any other target. A client whose request must not be retried loses it: a reset of an open flow
-//! does not prove that nothing ran.
+//! A failing target may accept every flow and reset each one when a request arrives, while its
+//! store entry and its health endpoint report it healthy. It looks idle, so it attracts more new
+//! flows than any other target. A client whose request must not be retried loses it: a reset of an
+//! open flow does not prove that nothing ran.
 //!
-//! The sign is a reset in place of an answer. Two in a row are not a coincidence: a healthy target
-//! ends a flow only after an answer. From then on new flows go elsewhere; after a backoff one flow at a
-//! time is admitted, and the first answer marks the target healthy again. An agent forwards only
-//! offers that name another agent, and the last agent named takes the flow whatever the health of its
-//! target, so a service whose targets all fail still receives flows.
+//! Such a target is detected by resets in place of answers. Two in a row are not a coincidence: a
+//! healthy target ends a flow only after an answer. From then on new flows go elsewhere; after a
+//! backoff one flow at a time is admitted, and the first answer marks the target healthy again. An
+//! agent forwards only offers that name another agent, and the last agent named delivers the flow
+//! whatever the health of its target, so a service whose targets all fail still receives flows.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 /// Consecutive requests that end in a reset before the target counts as failing.
 const MIN_CONSECUTIVE_RESETS: u8 = 2;
 
-/// How long a failing target first gets no new flows. A few times the duration of a request; a target
-/// that is restarting needs longer, and then the backoff doubles.
+/// How long a failing target first gets no new flows. A few times the duration of a request; a
+/// target that is restarting needs longer, and then the backoff doubles.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The longest backoff, and so the longest time that a recovered target stays idle.
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether new flows should go elsewhere while `in_progress` requests are unanswered.
+    /// Returns whether new flows should go elsewhere while `in_progress` requests are unanswered.
     pub(super) fn is_failing(&self, in_progress: u16, now: Moment) -> bool {
         self.consecutive_resets >= MIN_CONSECUTIVE_RESETS
             && (now < self.avoid_until || in_progress > 0)
--- a/crates/flows/src/agent/inbound.rs
+++ b/crates/flows/src/agent/inbound.rs
@@ -13,12 +13,13 @@
 use crate::packet::{FlowKey, FlowPacket};
 
 /// How far the acknowledgement number of a client's first packet on an open flow may be from the
-/// target's initial sequence number. That packet acknowledges the initial number itself or the next.
+/// target's initial sequence number. That packet acknowledges the initial number itself or the
+/// next.
 const OPENING_ACK_WINDOW: u32 = 4;
 
 impl FlowAgent {
-    /// Handles a client's packet that arrived in a frame. Returns what to do with it, and the update to
-    /// send to the balancer.
+    /// Handles a client's packet that arrived in a frame. Returns what to do with it, and the
+    /// update to send to the balancer.
     pub fn handle_frame(
         &mut self,
         frame: PacketFrame,
@@ -48,9 +49,9 @@
             return self.forward(packet, frame.into(), now);
         }
         entry.last_active = now;
-        // A balancer that searches does not know where the flow is, even if it was notified before: it has
-        // restarted at the same address. Without a second update it would send every further packet of the
-        // flow to all agents.
+        // A balancer that searches does not know where the flow is, even if it was notified before:
+        // it has restarted at the same address. Without a second update it would send every further
+        // packet of the flow to all agents.
         let searched = frame.purpose == FramePurpose::Search;
         if searched || entry.balancer != Some(frame.balancer) {
             entry.balancer = Some(frame.balancer);
@@ -74,8 +75,10 @@
         packet: &FlowPacket,
         now: Moment,
     ) -> DelegatedStep {
-        let own = self.settings.own;
-        let remote = self.delegated_searches.start(search, packet.flow, own, now);
+        let own_address = self.settings.own_address;
+        let remote = self
+            .delegated_searches
+            .start(search, packet.flow, own_address, now);
         let frame = PacketFrame::new(FramePurpose::Search, search.service, search.balancer);
         let (local, update) = self.handle_frame(frame, packet, now);
         DelegatedStep {
@@ -85,29 +88,31 @@
         }
     }
 
-    /// Handles another agent's update about a flow that this agent searches for. Returns the search result
-    /// and the balancer to send it to if that was the last pending answer.
+    /// Handles another agent's update about a flow that this agent searches for. Returns the search
+    /// result and the balancer to send it to if that was the last pending answer.
     pub fn handle_flow_update(
         &mut self,
         update: &FlowUpdate,
     ) -> Option<(AgentAddress, SearchResult)> {
-        let own = self.settings.own;
+        let own_address = self.settings.own_address;
         let agent = update.load.agent;
         match update.event {
-            FlowEvent::Absent => self
-                .delegated_searches
-                .record_absent(&update.flow, agent, own),
+            FlowEvent::Absent => {
+                self.delegated_searches
+                    .record_absent(&update.flow, agent, own_address)
+            }
             FlowEvent::Answered | FlowEvent::Opened | FlowEvent::Refused => None,
         }
     }
 
-    /// Ends the delegated searches that have timed out. Returns their results, each with the balancer to
-    /// send it to.
+    /// Ends the delegated searches that have timed out. Returns their results, each with the
+    /// balancer to send it to.
     pub fn expired_searches(&mut self, now: Moment) -> Vec<(AgentAddress, SearchResult)> {
-        self.delegated_searches.expire(self.settings.own, now)
+        self.delegated_searches
+            .expire(self.settings.own_address, now)
     }
 
-    /// When [`expired_searches`](Self::expired_searches) should be called next.
+    /// Returns when [`expired_searches`](Self::expired_searches) should be called next.
     #[must_use]
     pub fn next_search_deadline(&self) -> Option<Moment> {
         self.delegated_searches.next_deadline()
@@ -123,8 +128,9 @@
         let failing = self.health.is_failing(self.in_progress, now);
         let unavailable =
             self.leaving || failing || !self.is_responsive(now) || self.is_busy(frame.slots);
-        // A copy of a first packet that the target has not answered is one more flow to it: the process that
-        // received the first one may have ended, and this copy may be the first that its successor takes.
+        // A copy of a first packet that the target has not answered is one more flow to it: the
+        // process that received the first one may have ended, and this copy may be the first that
+        // its successor receives.
         let unanswered = known == Some(EntryState::Offered);
         if unanswered
             && self
@@ -157,8 +163,8 @@
         (AgentStep::Deliver { tag }, None)
     }
 
-    /// Records that a first packet is delivered to the target. If the target was last found not listening,
-    /// this packet is the retry, and later offers wait for its outcome.
+    /// Records that a first packet is delivered to the target. If the target was last found not
+    /// listening, this packet is the retry, and later offers wait for its outcome.
     fn record_offer(&mut self, now: Moment) {
         self.unanswered_since.get_or_insert(now);
         if self.refused_until > Moment::ZERO {
@@ -166,7 +172,8 @@
         }
     }
 
-    /// Whether the target's zone takes new flows, for an offer whose sender knew the zones up to `revision`.
+    /// Returns whether the target's zone accepts new flows, for an offer whose sender knew the
+    /// zones up to `revision`.
     fn zone_admits(&mut self, revision: u64, now: Moment) -> bool {
         let was_evacuated = self.zone.evacuated;
         let admitted = self.zone.admits_offer(revision);
@@ -190,8 +197,8 @@
         (AgentStep::Deliver { tag }, None)
     }
 
-    /// Remembers a packet that is delivered without knowing whether the target holds or takes its flow.
-    /// Returns the tag that identifies it if the target returns it.
+    /// Remembers a packet that is delivered without knowing whether the target holds or accepts its
+    /// flow. Returns the tag that identifies it if the target returns it.
     pub(super) fn add_tentative(&mut self, frame: PacketFrame) -> u32 {
         self.next_tag = self.next_tag.wrapping_add(1).max(1);
         let tag = self.next_tag;
@@ -240,10 +247,10 @@
         }
     }
 
-    /// Adds a flow that is about to open, and counts it as a request in progress: a client opens a flow
-    /// because it has a request to send. Otherwise, when all clients of a fleet reconnect at once after a
-    /// power loss, the first target that runs answers all of them before the first request arrives, and
-    /// keeps far more long flows than it can serve.
+    /// Adds a flow that is about to open, and counts it as a request in progress: a client opens a
+    /// flow because it has a request to send. Otherwise, when all clients of a fleet reconnect at
+    /// once after a power loss, the first target that runs answers all of them before the first
+    /// request arrives, and keeps far more long flows than it can serve.
     pub(super) fn add_opening_flow(&mut self, flow: FlowKey, mut entry: FlowEntry, now: Moment) {
         entry.waiting_since = Some(now);
         let lifetime = self.settings.flow_lifetime;
--- a/crates/flows/src/agent/outbound.rs
+++ b/crates/flows/src/agent/outbound.rs
@@ -10,8 +10,8 @@
 use crate::packet::FlowPacket;
 
 impl FlowAgent {
-    /// Handles a packet that the target sent. Returns what to do with it, and the update to send to the
-    /// flow's balancer.
+    /// Handles a packet that the target sent. Returns what to do with it, and the update to send to
+    /// the flow's balancer.
     pub fn handle_target_packet(
         &mut self,
         packet: &FlowPacket,
@@ -32,14 +32,14 @@
         (AgentStep::ToClient, update)
     }
 
-    /// Takes the time from the last answered request to the first packet of its answer; `None` if no
-    /// request was answered since the last call.
+    /// Takes the time from the last answered request to the first packet of its answer; `None` if
+    /// no request was answered since the last call.
     pub fn take_response_time(&mut self) -> Option<Duration> {
         self.response_time.take()
     }
 
-    /// Records that the operating system refused a packet to the target because nothing listens at its
-    /// address: the target is down.
+    /// Records that the operating system refused a packet to the target because nothing listens at
+    /// its address: the target is down.
     pub fn handle_connection_refused(&mut self, now: Moment) {
         self.refused_until = now + REFUSED_BACKOFF;
         self.warmup.record_down(now);
@@ -58,7 +58,8 @@
             if packet.opens() {
                 let known = self.flows.get(&packet.flow).map(|entry| entry.state);
                 if known.is_some_and(|state| state != EntryState::Offered) {
-                    // A late copy: the flow opened long ago and must not be offered to another target.
+                    // A late copy: the flow opened long ago and must not be offered to another
+                    // target.
                     return (AgentStep::Drop(DropReason::FlowEnded), None);
                 }
                 self.remove_flow(&packet.flow);
@@ -73,8 +74,8 @@
             }
             return self.forward(packet, delivery.origin, now);
         }
-        // The flow was here and the target no longer holds it: it restarted, or evicted an old flow.
-        // No other target holds it either.
+        // The flow was here and the target no longer holds it: it restarted, or evicted an old
+        // flow. No other target holds it either.
         let Some(entry) = self.remove_flow(&packet.flow) else {
             return (AgentStep::Drop(DropReason::UnknownFlow), None);
         };
@@ -137,8 +138,9 @@
         None
     }
 
-    /// Records that the target answered a first packet. Its initial sequence number tells a new flow from
-    /// a repeated answer: a late copy of a first packet must not turn an open flow into a new one.
+    /// Records that the target answered a first packet. Its initial sequence number tells a new
+    /// flow from a repeated answer: a late copy of a first packet must not turn an open flow into a
+    /// new one.
     pub(super) fn record_offer_answer(
         &mut self,
         packet: &FlowPacket,
--- a/crates/flows/src/agent/warmup.rs
+++ b/crates/flows/src/agent/warmup.rs
@@ -1,16 +1,16 @@
 //! Limits the new flows that a target is given while it is cold.
 //!
-//! Load pattern: targets are added, or come back with their zone, during a rush. They look idle, so they
-//! attract more new flows than any other target and are overloaded while they are slow. Where the
-//! operator sets how many flows per second a cold target can take, its agent admits no more in any
-//! one-second window, since only the agent sees everything that reaches the target. It also spaces the
-//! flows evenly: a second's worth at once fills the queue of a slow target, which then fails and is cold
-//! again when it is back.
+//! Targets that are added during a rush, or whose zone is restored, look idle. They attract more
+//! new flows than any other target and are overloaded while they are slow: requests there take
+//! seconds. Where the operator sets how many flows per second a cold target can take, its agent
+//! admits no more in any one-second window, since only the agent sees everything that reaches the
+//! target. It also spaces the flows evenly: a second's worth at once fills the queue of a slow
+//! target, which then fails and is cold again after its restart.
 //!
-//! The sign is requests that take seconds at targets that have just started. The gate assumes the worst
-//! about what it does not know: an agent that has just started knows neither what its predecessor
-//! admitted a moment ago nor whether the target started at the same time; a target whose zone comes back,
-//! or that failed to answer, may be cold before its store entry says so.
+//! The gate assumes the worst about what it does not know. An agent that has just started knows
+//! neither what its predecessor admitted a moment ago nor whether the target started at the same
+//! time. A target whose zone is restored, or that failed to answer, may be cold before its store
+//! entry says so.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -20,15 +20,15 @@
 use super::WarmupSettings;
 use crate::frame::WarmupLimit;
 
-/// How long a first packet counts against the limit: a second, plus the variation in the delay between
-/// two packets on a busy machine.
+/// How long a first packet counts against the limit: a second, plus the variation in the delay
+/// between two packets on a busy machine.
 const RATE_WINDOW: Duration = Duration::from_millis(1_100);
 
 /// About how long a report of the remaining room is current.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A target that sent nothing for this long may have restarted meanwhile. A target with open flows sends
-/// packets all the time; a process takes longer than this to end and start.
+/// A target that sent nothing for this long may have restarted meanwhile. A target with open flows
+/// sends packets all the time; a process takes longer than this to end and start.
 const QUIET_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Maximum number of first packets remembered; a target at its limit is full long before.
@@ -57,15 +57,15 @@
     settings: WarmupSettings,
     /// When this agent started; `None` once the target is known to be older than the agent.
     started: Option<Moment>,
-    /// When each first packet of the last [`RATE_WINDOW`] was delivered to the target, including those that
-    /// it returned, which were work for it as well. Invariant: in ascending order.
+    /// When each first packet of the last [`RATE_WINDOW`] was delivered to the target, including
+    /// those that it returned, which were work for it as well. Invariant: in ascending order.
     recent: VecDeque<Moment>,
     /// When the target will have absorbed everything it was given, at the rate of the limit.
     paced_until: Moment,
     /// How many of the newest entries of `recent` may not have been sent yet.
     unsent: usize,
-    /// The last limit that a balancer named. Kept when another balancer names none, whose configuration may
-    /// be stale.
+    /// The last limit that a balancer named. Kept when another balancer names none, whose
+    /// configuration may be stale.
     limit: Option<WarmupLimit>,
     /// Until when the target is cold according to the balancers.
     cold_until: Moment,
@@ -73,7 +73,8 @@
     possibly_cold_since: Option<Moment>,
     /// Whether there was a sign that the target is down, and none since that it is up.
     down: bool,
-    /// When the target was last heard; `None` before the first time, when `started` gives the better bound.
+    /// When the target was last heard; `None` before the first time. Until then `started` is the
+    /// better bound.
     last_heard: Option<Moment>,
 }
 
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Checks an offer whose balancer names `limit`, for a target that runs `slots` requests at once.
+    /// Checks an offer whose balancer names `limit`, for a target that runs `slots` requests at
+    /// once.
     pub(super) fn check_offer(
         &mut self,
         limit: Option<WarmupLimit>,
@@ -121,7 +123,8 @@
         }
     }
 
-    /// How many more flows the target can take until the next report; `None` where no limit applies.
+    /// Returns how many more flows the target can take until the next report; `None` where no limit
+    /// applies.
     pub(super) fn room(&mut self, now: Moment) -> Option<u16> {
         self.expire_recent(now);
         let limit = self.cold_limit(now)?;
@@ -146,9 +149,9 @@
         }
     }
 
-    /// Records that everything admitted so far has left this process, and counts it from now. A process
-    /// that is paused between admission and sending would otherwise count packets that arrive now as
-    /// seconds old, and admit as many again.
+    /// Records that everything admitted so far has left this process, and counts it from now. A
+    /// process that is paused between admission and sending would otherwise count packets that
+    /// arrive now as seconds old, and admit as many again.
     pub(super) fn record_sent(&mut self, now: Moment) {
         let first = self.recent.len().saturating_sub(self.unsent);
         for at in self.recent.range_mut(first..) {
@@ -160,19 +163,20 @@
         self.unsent = 0;
     }
 
-    /// Marks the target as possibly cold from now on: its zone has come back.
+    /// Marks the target as possibly cold from now on: its zone was restored.
     pub(super) fn mark_possibly_cold(&mut self, now: Moment) {
         self.possibly_cold_since = Some(now);
     }
 
-    /// Records a sign that the target is down. When it is back it is cold from its start on, which is not
-    /// before the last such sign and not after it is heard again.
+    /// Records a sign that the target is down. After a restart it is cold from its start on, which
+    /// is not before the last such sign and not after the target is heard again.
     pub(super) fn record_down(&mut self, now: Moment) {
         self.down = true;
         self.possibly_cold_since = Some(now);
     }
 
-    /// Records that the target was heard. After a long silence it may have restarted without a sign.
+    /// Records that the target was heard. After a long silence it may have restarted without a
+    /// sign.
     pub(super) fn record_up(&mut self, now: Moment) {
         let quiet = self.is_quiet(now);
         if std::mem::take(&mut self.down) || quiet {
@@ -186,12 +190,13 @@
             .is_some_and(|at| now.since(at) >= QUIET_TIMEOUT)
     }
 
-    /// Records that the target holds a flow from before this agent's start, so it is older than the agent.
+    /// Records that the target holds a flow from before this agent's start, so it is older than the
+    /// agent.
     pub(super) fn record_older_target(&mut self) {
         self.started = None;
     }
 
-    /// The limit, while the target is or may be cold.
+    /// Returns the limit while the target is or may be cold.
     fn cold_limit(&self, now: Moment) -> Option<WarmupLimit> {
         let limit = self.limit?;
         let events = [self.started, self.possibly_cold_since];
--- a/crates/flows/src/agent/zone.rs
+++ b/crates/flows/src/agent/zone.rs
@@ -1,9 +1,8 @@
-//! Whether the target's own zone is evacuated.
+//! Tracks whether the target's zone is evacuated.
 //!
-//! Load pattern: the operator evacuates a zone while flows arrive at their usual rate. Balancers learn
-//! of it at different times, and one that is partitioned from the others does not learn of it at all;
-//! its offers still arrive. The agent therefore decides for its own target, by the newest notice that
-//! any balancer sent.
+//! When the operator evacuates a zone, balancers learn of it at different times, and one that is
+//! cut off from the store and from the others does not learn of it at all, but still makes offers.
+//! The agent therefore decides for its own target, by the newest notice that any balancer sent.
 
 use std::time::Duration;
 
@@ -29,9 +28,9 @@
         changed.then_some(notice.age)
     }
 
-    /// Whether an offer may be taken whose sender knew the zones up to `revision` and considered this
-    /// one not evacuated. A revision newer than the known one ends an evacuation. Before the first
-    /// notice, an offer with revision 0 is not taken.
+    /// Returns whether an offer may be accepted whose sender knew the zones up to `revision` and
+    /// considered this one not evacuated. A revision newer than the known one ends an evacuation.
+    /// Before the first notice, an offer with revision 0 is not accepted.
     pub(super) fn admits_offer(&mut self, revision: u64) -> bool {
         if revision > self.revision {
             *self = Self {
--- a/crates/flows/src/balancer.rs
+++ b/crates/flows/src/balancer.rs
@@ -41,7 +41,7 @@
 use crate::packet::{FlowKey, FlowPacket};
 use crate::view::FlowView;
 
-/// Shards of the flow memory, each under its own lock.
+/// Shards of the flow table, each under its own lock.
 const SHARD_COUNT: usize = 16;
 
 /// Capacity of a shard: 16 shards of 16,384 entries of about 100 bytes take 26 MB, which fits a
@@ -52,8 +52,8 @@
 const MAX_SEARCHES_PER_SHARD: usize = 1_024;
 
 /// How long an offer waits for the target's answer before the next target is offered the flow.
-/// Twenty times a normal exchange, and short against any caller's objective. If a second target
-/// accepts as well, that costs one connection.
+/// Twenty times a normal exchange, and short compared with any caller's latency objective. If a
+/// second target accepts as well, that costs one connection.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Limit on offers per first packet; after them, the client's retransmissions give further chances.
@@ -63,8 +63,8 @@
 /// port opens a new flow.
 const RETRANSMIT_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// How long after its announcement a leaving target may still get a flow that no other target can
-/// take. Users allow 3 s after the announcement, which itself may take 1 s to arrive.
+/// How long after its announcement a leaving target may still get a flow that no other target
+/// accepts. Users allow 3 s after the announcement, which itself may take 1 s to arrive.
 const LAST_RESORT_WINDOW: Duration = Duration::from_millis(800);
 
 /// Limit on alternative targets in an offer.
@@ -143,7 +143,7 @@
     Lost,
     /// No configuration is known yet: decide again when there is one.
     Hold,
-    /// Discard the packet: there is nobody to send it to.
+    /// Discard the packet: there is no agent to send it to.
     Drop,
 }
 
@@ -180,14 +180,14 @@
     pub answered_after: Option<Duration>,
 }
 
-/// One shard of the flow memory.
+/// One shard of the flow table.
 #[derive(Debug)]
 struct FlowShard {
     flows: FlowTable<FlowEntry>,
     searches: FlowTable<FlowSearch>,
 }
 
-/// The decisions of one balancer, shared by its packet threads.
+/// The state from which a balancer decides about packets, shared by its packet threads.
 #[derive(Debug)]
 pub struct FlowBalancer {
     own_address: AgentAddress,
@@ -235,7 +235,7 @@
         self.own_address
     }
 
-    /// Returns the number of flows in memory.
+    /// Returns the number of flows in the flow table.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         let counts = self.shards.iter().map(|shard| shard.lock().flows.len());
@@ -295,8 +295,8 @@
         now: Moment,
     ) -> BalancerStep {
         let mut shard = self.shard(packet.flow.point()).lock();
-        let held = shard.flows.get(&packet.flow);
-        if held.is_some_and(|entry| entry.agent == agent && entry.state != EntryState::Lost) {
+        let known = shard.flows.get(&packet.flow);
+        if known.is_some_and(|entry| entry.agent == agent && entry.state != EntryState::Lost) {
             shard.flows.remove(&packet.flow);
         }
         drop(shard);
@@ -327,7 +327,7 @@
         self.loads.lock().record_report(report, now);
     }
 
-    /// Records stops of agents that other balancers were told of.
+    /// Records stops that agents announced to other balancers.
     pub fn record_stops(&self, stops: &[AgentStop], now: Moment) {
         let mut loads = self.loads.lock();
         for stop in stops {
@@ -402,14 +402,15 @@
         self.loads.lock().due_probes(now)
     }
 
-    /// Returns whether this balancer is cut off from all agents, so that its clients are better
+    /// Returns whether this balancer is isolated: it hears no agent, so its clients are better
     /// served by another one.
     #[must_use]
     pub fn is_isolated(&self, now: Moment) -> bool {
         self.loads.lock().is_isolated(now)
     }
 
-    /// Evicts flows and targets that have been idle for `idle`, at intervals.
+    /// Expires flows, searches and load reports that have been idle for `idle`. Sweeps flows and
+    /// searches only at intervals.
     pub fn expire_idle(&self, idle: Duration, now: Moment) {
         for shard in &self.shards {
             let mut shard = shard.lock();
@@ -420,7 +421,7 @@
     }
 
     fn shard(&self, point: u64) -> &Mutex<FlowShard> {
-        // The high bits: the low bits decide the place on the ring.
+        // Uses the high bits, because the low bits decide the place on the ring.
         let index = usize::try_from(point >> 60).unwrap_or(0);
         &self.shards[index % SHARD_COUNT]
     }
@@ -457,12 +458,12 @@
         Some(now.since(entry.created))
     }
 
-    /// The agent has already refused the flow to the client, so it must not be offered to another
-    /// target.
+    /// Removes a flow that an agent refused: its client was sent a reset, so it must not be offered
+    /// to another target.
     fn record_refused(&self, update: &FlowUpdate) {
         let mut shard = self.shard(update.flow.point()).lock();
-        let held = shard.flows.get(&update.flow);
-        if held.is_some_and(|entry| entry.state == EntryState::Offered) {
+        let known = shard.flows.get(&update.flow);
+        if known.is_some_and(|entry| entry.state == EntryState::Offered) {
             shard.flows.remove(&update.flow);
         }
     }
--- a/crates/flows/src/balancer/entry.rs
+++ b/crates/flows/src/balancer/entry.rs
@@ -148,11 +148,12 @@
     /// The client's packet that started the search, shown to every queried agent.
     pub(super) bytes: Box<[u8]>,
     pub(super) phase: SearchPhase,
-    /// Whether the view that the search goes by held every living target.
+    /// Whether the view that the search uses includes every live target.
     pub(super) view_complete: bool,
-    /// Whether a possible holder must not be queried, so that the other answers prove nothing.
+    /// Whether some possible holder must not be queried, so that the answers of the others prove
+    /// nothing.
     pub(super) holder_excluded: bool,
-    /// Whether a possible holder is unreachable and no longer waited for.
+    /// Whether some possible holder is unreachable, so that its answer is no longer awaited.
     pub(super) holder_unreachable: bool,
 }
 
--- a/crates/flows/src/balancer/holders.rs
+++ b/crates/flows/src/balancer/holders.rs
@@ -14,7 +14,7 @@
 const SINGLE_PHASE_AGENTS: usize = SEARCH_CANDIDATES;
 
 /// How long a target may still hold flows after its entry vanished from the store: the store lists
-/// a living target again within two seconds.
+/// a live target again within two seconds.
 const VANISHED_WINDOW: Duration = Duration::from_secs(3);
 
 /// Targets that may hold a flow.
@@ -26,8 +26,8 @@
 impl FlowSearch {
     /// Adds targets to the queried ones, one for each agent that has not been queried. A target
     /// that has been off the store's list for long is queried too, since a target that is only cut
-    /// off from the store still serves. It is most likely gone, though, so its answer is not waited
-    /// for.
+    /// off from the store still serves. It is most likely gone, though, so its answer is not
+    /// awaited.
     pub(super) fn add_queries<'v>(
         &mut self,
         targets: impl Iterator<Item = &'v FlowTarget>,
@@ -74,13 +74,13 @@
     }
 }
 
-/// Returns whether a target is likely enough to live that its answer is waited for.
+/// Returns whether a target is likely enough to be alive that its answer is awaited.
 fn is_likely_alive(target: &FlowTarget, now: Moment) -> bool {
     target.may_be_alive() || now.since(target.standing_since) < VANISHED_WINDOW
 }
 
 /// Starts a search: with all possible holders in a small fleet, else with the flow's candidates.
-pub(super) fn begin_search(
+pub(super) fn start_search(
     packet: &FlowPacket,
     bytes: &[u8],
     except: Option<AgentAddress>,
@@ -88,7 +88,7 @@
     view: &FlowView,
     now: Moment,
 ) -> (FlowSearch, QueriedAgents) {
-    let few = is_small_fleet(view, now);
+    let is_small = is_small_fleet(view, now);
     let mut search = FlowSearch {
         last_packet: now,
         started: now,
@@ -99,7 +99,7 @@
         queried: SmallVec::new(),
         pending: SmallVec::new(),
         bytes: bytes.into(),
-        phase: if few {
+        phase: if is_small {
             SearchPhase::AllHolders
         } else {
             SearchPhase::Candidates
@@ -108,7 +108,7 @@
         holder_excluded: false,
         holder_unreachable: false,
     };
-    let mut targets = if few {
+    let mut targets = if is_small {
         possible_holders(view, now)
     } else {
         candidates(packet, route, view)
@@ -134,17 +134,17 @@
     candidates
 }
 
-/// Returns the targets that are likely to live, of all services that the configuration names.
-fn likely_targets(view: &FlowView, now: Moment) -> impl Iterator<Item = &FlowTarget> {
+/// Returns the targets that are likely alive, of all services that the configuration names.
+fn likely_alive_targets(view: &FlowView, now: Moment) -> impl Iterator<Item = &FlowTarget> {
     let targets = view.configured_rings().flat_map(ServiceTargets::targets);
     targets.filter(move |target| is_likely_alive(target, now))
 }
 
 /// Returns whether so few agents may hold a flow that all are queried at once. Every search calls
-/// this, so it stops at the first agent too many: going through 1,000 targets took 40 us.
+/// this, so it stops as soon as the limit is exceeded: going through 1,000 targets took 40 us.
 fn is_small_fleet(view: &FlowView, now: Moment) -> bool {
     let mut agents: SmallVec<[AgentAddress; SINGLE_PHASE_AGENTS]> = SmallVec::new();
-    for target in likely_targets(view, now) {
+    for target in likely_alive_targets(view, now) {
         if agents.contains(&target.agent) {
             continue;
         }
@@ -158,12 +158,12 @@
 
 /// Returns the targets that may hold a flow, one for each agent, of all services that the
 /// configuration names. A route may have been moved to another service a moment ago, and a balancer
-/// that has just started, or has not heard of the move yet, cannot know which services to query.
+/// that has just started, or does not know of the move yet, cannot know which services to query.
 ///
 /// One target per agent, because after a power loss each agent is listed twice until the entries of
 /// the former starts expire. Counting both would make the fleet look twice as large.
 pub(crate) fn possible_holders(view: &FlowView, now: Moment) -> HolderList<'_> {
-    let mut holders: HolderList<'_> = likely_targets(view, now).collect();
+    let mut holders: HolderList<'_> = likely_alive_targets(view, now).collect();
     holders.sort_unstable_by_key(|target| (target.agent, !target.listed));
     holders.dedup_by_key(|target| target.agent);
     holders
--- a/crates/flows/src/balancer/loss.rs
+++ b/crates/flows/src/balancer/loss.rs
@@ -19,9 +19,9 @@
 
 /// An agent that was sent frames and probes for this long without being heard is unreachable.
 ///
-/// It has to exceed the silence of a planned restart for a balancer that was not told of it: the
-/// process is away for 0.56 s, it was last heard up to 200 ms before its silence is first noticed,
-/// and it is probed every 150 ms. At 0.8 s such restarts reset open flows of living targets.
+/// It has to exceed the silence of a planned restart for a balancer that was not notified of it:
+/// the process is away for 0.56 s, it was last heard up to 200 ms before its silence is first
+/// noticed, and it is probed every 150 ms. At 0.8 s such restarts reset open flows of live targets.
 pub(super) const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long an agent may be silent if the store has also removed its target's entry.
--- a/crates/flows/src/balancer/offer.rs
+++ b/crates/flows/src/balancer/offer.rs
@@ -89,7 +89,8 @@
         })
     }
 
-    /// The target's answer did not reach the client: the same target repeats it.
+    /// Repeats an offer that its target answered: the answer did not reach the client, and the same
+    /// target repeats it.
     fn repeat_offer(&self, entry: &FlowEntry) -> BalancerStep {
         BalancerStep::Send {
             to: entry.agent,
@@ -161,14 +162,14 @@
     fn fallback_targets<'v>(
         &self,
         route: &FlowRoute,
-        drawn: ServiceId,
+        selected: ServiceId,
         tried: &[ServiceAgent],
         view: &'v FlowView,
         point: u64,
         now: Moment,
     ) -> SmallVec<[(f32, &'v FlowTarget); 2]> {
         let services = route.shares.iter().map(|&(service, _)| service);
-        let others = services.filter(|service| *service != drawn);
+        let others = services.filter(|service| *service != selected);
         let best = others.filter_map(|service| {
             let ranked = self.rank_targets(route, service, tried, view, point, now);
             ranked.first().copied()
@@ -196,7 +197,7 @@
             .insert(*flow, entry, RETRANSMIT_WINDOW * 10, now);
     }
 
-    /// Ranks the targets of a service that may take a flow, best first. Targets of a worse tier are
+    /// Ranks the targets of a service that may get a flow, best first. Targets of a worse tier are
     /// left out as far as better ones exist.
     fn rank_targets<'v>(
         &self,
--- a/crates/flows/src/balancer/relay.rs
+++ b/crates/flows/src/balancer/relay.rs
@@ -2,8 +2,8 @@
 //!
 //! Two availability zones may be cut off from each other while a third one reaches both. Flows that
 //! were open between the two go silent: the balancer's packets do not arrive, and for requests that
-//! must run at most once, nothing may be concluded from that. The symptom is filings that wait for
-//! as long as the cut lasts.
+//! must run at most once, nothing may be concluded from that. Without relays, filings wait for as
+//! long as the cut lasts.
 //!
 //! So a packet of an open flow at a silent agent is also sent through an agent of a third zone. A
 //! relay forwards the frame unchanged, and a relayed frame is never relayed again. Nothing is
@@ -19,9 +19,9 @@
 use crate::ring::{FlowTarget, ServiceTargets};
 use crate::view::FlowView;
 
-/// How long an agent must owe an answer before its packets are relayed. Longer than the normal
-/// interval between two reports, and shorter than the second after which flows of idempotent routes
-/// are reset.
+/// How long an answer of an agent must be overdue before its packets are relayed. Longer than the
+/// normal interval between two reports, and shorter than the second after which flows of idempotent
+/// routes are reset.
 const OVERDUE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// An agent that was heard within this window can relay.
@@ -46,8 +46,8 @@
         let silent = targets.find(|target| target.agent == entry.agent)?;
         let can_relay = |target: &&FlowTarget| {
             let third = !view.zones.is_near(target.zone) && target.zone != silent.zone;
-            let heard = loads.last_healthy_report(target.agent);
-            third && heard.is_some_and(|at| now.since(at) < HEARD_WINDOW)
+            let reported_at = loads.last_healthy_report(target.agent);
+            third && reported_at.is_some_and(|at| now.since(at) < HEARD_WINDOW)
         };
         relay_candidates(ring, point)
             .find(can_relay)
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -1,12 +1,12 @@
 //! Searches for flows that this balancer does not know, because another balancer placed them or its
-//! memory was lost.
+//! flow table was lost.
 //!
 //! First the flow's candidates are queried, all at once and with the packet itself. The agent whose
-//! target holds the flow delivers the packet and says so; the others report the flow as absent.
+//! target holds the flow delivers the packet and sends an update; the others report it as absent.
 //! This costs a few datagrams for the first packet of a flow that moved, and a dead agent among the
 //! candidates delays nothing.
 //!
-//! A search must not just end in silence: after a power loss, every client keeps sending on flows
+//! A search must not end without a result: after a power loss, every client keeps sending on flows
 //! that no longer exist, and each would lose a request to its deadline before it opens a new flow.
 //! So when the candidates have all reported the flow as absent, or do not answer, the packet is
 //! shown to all other possible holders, and when all of these have reported it as absent, the flow
@@ -61,7 +61,7 @@
 
 /// While at most this many of a flow's candidates have not answered, the second phase waits for
 /// them only for a multiple of the time that the others took. An agent that has just stopped never
-/// answers, and the flow may be held elsewhere. After a restart of all processes beside living
+/// answers, and the flow may be held elsewhere. After a restart of all processes beside live
 /// targets, two thirds of the searches in a fleet of 136 had such an agent among their candidates
 /// and waited 150 ms for it.
 const EARLY_WIDEN_MAX_SILENT: usize = 4;
@@ -74,7 +74,7 @@
 const EARLY_WIDEN_MIN_WAIT: Duration = Duration::from_millis(20);
 
 /// How long an agent whose target the store no longer lists may stay silent after the second query
-/// before it counts as gone. A living agent answers within some milliseconds, and two datagrams are
+/// before it counts as gone. A live agent answers within some milliseconds, and two datagrams are
 /// rarely lost in a row. Without this limit, a search waited for targets that had left, so no flow
 /// was known to be lost until three seconds after the last target had left.
 const RETRY_TIMEOUT: Duration = Duration::from_millis(250);
@@ -154,7 +154,7 @@
             let agents = self.agents_to_query(packet.flow, search, view, now);
             return self.query_step(packet.flow, search, agents, now);
         }
-        let (mut search, agents) = holders::begin_search(packet, bytes, except, route, view, now);
+        let (mut search, agents) = holders::start_search(packet, bytes, except, route, view, now);
         self.drop_silent(&mut search, view, now);
         self.reschedule(now + QUERY_TIMEOUT, packet.flow, &mut search);
         let step = self.query_step(packet.flow, &mut search, agents, now);
@@ -196,8 +196,8 @@
     fn resume_retried(&self, now: Moment) {
         for shard in &self.shards {
             shard.lock().searches.visit(|flow, search| {
-                let waits = search.phase == SearchPhase::Retried && now < search.due;
-                if waits && now.since(search.queried_at) >= RETRY_TIMEOUT {
+                let is_retrying = search.phase == SearchPhase::Retried && now < search.due;
+                if is_retrying && now.since(search.queried_at) >= RETRY_TIMEOUT {
                     self.reschedule(now, *flow, search);
                 }
             });
@@ -305,7 +305,7 @@
     /// an announced stop of its agent. While the target is listed, it counts as unreachable,
     /// provided that requests may be run again. Machines that never come back after a power loss
     /// stay listed for three heartbeats (3.6 s); without this, no flow was known to be lost until
-    /// then, and 1.2 s of a fleet's requests on kept flows failed.
+    /// then, and 1.2 s of a fleet's requests on pooled flows failed.
     fn drop_silent(&self, search: &mut FlowSearch, view: &FlowView, now: Moment) {
         let loads = self.loads.lock();
         let FlowSearch {
@@ -331,15 +331,15 @@
         let loads = self.loads.lock();
         let pending = search.pending.iter().map(|query| query.holder);
         pending
-            .filter(|candidate| {
-                let load = loads.load(candidate.agent);
+            .filter(|holder| {
+                let load = loads.load(holder.agent);
                 load.is_some_and(|load| load.last_heard > search.queried_at)
             })
             .collect()
     }
 
     /// Returns until when a search waits for candidates that have not answered. This is `now` if
-    /// all of them already owe answers, to this search or to another.
+    /// the answers of all of them are overdue, for this search or another.
     fn widen_due(&self, search: &FlowSearch, now: Moment) -> Moment {
         let loads = self.loads.lock();
         let mut pending = search.pending.iter();
@@ -349,8 +349,8 @@
         if search.pending.len() > EARLY_WIDEN_MAX_SILENT {
             return search.due;
         }
-        let others_took = now.since(search.started);
-        search.started + (others_took * EARLY_WIDEN_FACTOR).max(EARLY_WIDEN_MIN_WAIT)
+        let response_time = now.since(search.started);
+        search.started + (response_time * EARLY_WIDEN_FACTOR).max(EARLY_WIDEN_MIN_WAIT)
     }
 
     /// Returns the agents that are shown another packet of a flow that is being searched for: those
@@ -363,8 +363,9 @@
         view: &FlowView,
         now: Moment,
     ) -> QueriedAgents {
-        let waits = !search.pending.is_empty() && now.since(search.started) < QUERY_TIMEOUT;
-        if waits || search.phase != SearchPhase::Candidates {
+        let awaits_answers =
+            !search.pending.is_empty() && now.since(search.started) < QUERY_TIMEOUT;
+        if awaits_answers || search.phase != SearchPhase::Candidates {
             return pending_agents(search);
         }
         match self.widen(flow, search, view, now) {
@@ -410,8 +411,8 @@
     pub(super) fn record_absent(&self, update: &FlowUpdate, now: Moment) -> Option<FlowReset> {
         let agent = update.load.agent;
         let mut shard = self.shard(update.flow.point()).lock();
-        let held = shard.flows.get(&update.flow);
-        if held.is_some_and(|entry| entry.agent == agent && entry.state != EntryState::Lost) {
+        let known = shard.flows.get(&update.flow);
+        if known.is_some_and(|entry| entry.agent == agent && entry.state != EntryState::Lost) {
             shard.flows.remove(&update.flow);
         }
         let search = shard.searches.get_mut(&update.flow)?;
@@ -484,9 +485,9 @@
 
 /// Returns whether the flow's next packet starts another search.
 fn may_restart(search: &FlowSearch, now: Moment) -> bool {
-    let again = search.phase == SearchPhase::Inconclusive
+    let is_retryable = search.phase == SearchPhase::Inconclusive
         && now.since(search.last_packet) >= RESTART_INTERVAL;
-    again || is_stale(search, now)
+    is_retryable || is_stale(search, now)
 }
 
 /// Returns whether a search is so old that its answers are ignored.
--- a/crates/flows/src/balancer/search_frames.rs
+++ b/crates/flows/src/balancer/search_frames.rs
@@ -21,12 +21,13 @@
 use crate::packet::FlowKey;
 use crate::ring::SEARCH_CANDIDATES;
 
-/// From this many agents on, delegates query the others. Below, the balancer's own datagrams cost
-/// less than the additional hop.
+/// From this many agents on, delegates may query the others. Below, direct queries cost less than
+/// the additional hop.
 const MIN_DELEGATED_AGENTS: usize = 6;
 
-/// Agents that were heard within this window are delegates in turn. If there is none, the agents
-/// that were heard last are chosen. A delegate that has died meanwhile delays a search by 150 ms.
+/// Agents that reported within this window act as delegates in turn. If there are too few, the
+/// agents that reported last are chosen. A delegate that has died meanwhile delays a search by 150
+/// ms.
 const DELEGATE_WINDOW: Duration = Duration::from_millis(150);
 
 /// Bytes of a frame without its packet, including the headers below it.
@@ -57,8 +58,8 @@
 }
 
 impl FrameBuilder<'_> {
-    /// Builds the frames that query these agents: one each while that is cheap, else one to each of
-    /// a few delegates.
+    /// Builds the frames that query these agents: one for each if there are few or the budget
+    /// allows it, else one for each of a few delegates.
     pub(super) fn build(
         &mut self,
         flow: FlowKey,
@@ -67,10 +68,10 @@
     ) -> SearchFrames {
         let packet_bytes = search.bytes.len();
         let direct_bytes = agents.len() * (packet_bytes + FRAME_OVERHEAD_BYTES);
-        let few = agents.len() < MIN_DELEGATED_AGENTS;
-        let cheap = agents.len() <= SEARCH_CANDIDATES
+        let is_small = agents.len() < MIN_DELEGATED_AGENTS;
+        let within_budget = agents.len() <= SEARCH_CANDIDATES
             && self.budget.try_spend_direct(direct_bytes, self.now);
-        if few || cheap {
+        if is_small || within_budget {
             mark_direct(search, &agents);
             let frames = agents
                 .iter()
@@ -138,12 +139,15 @@
             .filter(|holder| !failed(holder.agent))
             .copied()
             .collect();
-        let heard_recently = |holder: &&ServiceAgent| {
-            let heard = self.loads.last_healthy_report(holder.agent);
-            heard.is_some_and(|heard| self.now.since(heard) < DELEGATE_WINDOW)
+        let reported_recently = |holder: &&ServiceAgent| {
+            let reported_at = self.loads.last_healthy_report(holder.agent);
+            reported_at.is_some_and(|at| self.now.since(at) < DELEGATE_WINDOW)
         };
-        let mut eligible: SmallVec<[ServiceAgent; SEARCH_CANDIDATES]> =
-            not_failed.iter().filter(heard_recently).copied().collect();
+        let mut eligible: SmallVec<[ServiceAgent; SEARCH_CANDIDATES]> = not_failed
+            .iter()
+            .filter(reported_recently)
+            .copied()
+            .collect();
         if eligible.len() < delegate_count {
             eligible = if not_failed.len() < delegate_count {
                 agents.iter().copied().collect()
@@ -172,7 +176,7 @@
     }
 }
 
-/// Records the delegate of each agent in one pass: a search of thousands of agents has scores of
+/// Records the delegate of each agent in one pass: a search of thousands of agents has dozens of
 /// delegates.
 fn set_delegates(search: &mut FlowSearch, delegate_of: &DelegateMap) {
     for query in &mut search.pending {
--- a/crates/flows/src/delegated_search.rs
+++ b/crates/flows/src/delegated_search.rs
@@ -1,8 +1,9 @@
 //! Searches for flows that an agent runs on behalf of balancers.
 //!
-//! The agent sends the packet to every agent on the balancer's list and counts negative answers. An
-//! agent that holds the flow notifies the balancer itself. When all have answered, or after
-//! [`DELEGATED_SEARCH_TIMEOUT`], the balancer receives one result for all of them.
+//! The agent queries every agent on the balancer's list with the packet and tracks which of them
+//! report the flow as absent. An agent that holds the flow notifies the balancer itself. When all
+//! have answered, or after [`DELEGATED_SEARCH_TIMEOUT`], the balancer receives one result for all
+//! of them.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -15,16 +16,17 @@
 use crate::packet::FlowKey;
 
 /// How long the other agents may take to answer. Ten times a normal round trip between availability
-/// zones, and short enough that the balancer can ask the silent ones itself within 150 ms of its first
-/// request.
+/// zones, and short enough that the balancer can query the silent ones itself within 150 ms of its
+/// first frame.
 pub(crate) const DELEGATED_SEARCH_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Maximum number of searches in flight, each 100 bytes and 8 for each agent asked. Searches beyond
-/// this are left to the balancer itself.
+/// Maximum number of searches in flight, each 100 bytes and 8 for each queried agent. The balancer
+/// continues further searches itself.
 const MAX_SEARCHES: usize = 1_024;
 
-/// Maximum number of agents that one delegated search names: 256 bytes beside a packet of at most 1,236.
-/// Agents beyond this are not asked, so that one datagram cannot make an agent send without a bound.
+/// Maximum number of agents that one delegated search names: 256 bytes beside a packet of at most
+/// 1,236. Agents beyond this are not queried, so that one datagram cannot make an agent send
+/// without a bound.
 pub(crate) const MAX_DELEGATED_AGENTS: usize = 64;
 
 #[derive(Clone, Debug)]
@@ -44,12 +46,13 @@
 }
 
 impl DelegatedSearches {
-    /// Starts a search of the agent at `own`. Returns the agents to send the packet to, each with its frame.
+    /// Starts a search of the agent at `own_address`. Returns the agents to send the packet to,
+    /// each with its frame.
     pub(crate) fn start(
         &mut self,
         search: &DelegatedSearch,
         flow: FlowKey,
-        own: AgentAddress,
+        own_address: AgentAddress,
         now: Moment,
     ) -> Vec<(AgentAddress, PacketFrame)> {
         if self.start_order.len() >= MAX_SEARCHES {
@@ -58,9 +61,9 @@
         let mut frames = Vec::new();
         for group in &search.others {
             for &instance in &group.instances {
-                let agent = AgentAddress(SocketAddrV4::new(instance, own.0.port()));
+                let agent = AgentAddress(SocketAddrV4::new(instance, own_address.0.port()));
                 let frame = PacketFrame::new(FramePurpose::Search, group.service, search.balancer);
-                frames.push((agent, frame.with_asker(own)));
+                frames.push((agent, frame.with_asker(own_address)));
             }
         }
         frames.truncate(MAX_DELEGATED_AGENTS);
@@ -74,26 +77,26 @@
         frames
     }
 
-    /// Records that an agent does not hold a flow. Returns the result of the search if that was the last
-    /// pending answer.
+    /// Records that an agent does not hold a flow. Returns the result of the search if that was the
+    /// last pending answer.
     pub(crate) fn record_absent(
         &mut self,
         flow: &FlowKey,
         agent: AgentAddress,
-        own: AgentAddress,
+        own_address: AgentAddress,
     ) -> Option<(AgentAddress, SearchResult)> {
         let search = self.pending.get_mut(flow)?;
         search.unanswered.retain(|unanswered| *unanswered != agent);
         if !search.unanswered.is_empty() {
             return None;
         }
-        self.finish(flow, own)
+        self.finish(flow, own_address)
     }
 
     /// Ends the searches that have timed out and returns their results.
     pub(crate) fn expire(
         &mut self,
-        own: AgentAddress,
+        own_address: AgentAddress,
         now: Moment,
     ) -> Vec<(AgentAddress, SearchResult)> {
         let mut results = Vec::new();
@@ -104,13 +107,14 @@
             // The flow may have a later search, which is not due yet.
             let search = self.pending.get(&flow);
             if search.is_some_and(|search| has_timed_out(search.started, now)) {
-                results.extend(self.finish(&flow, own));
+                results.extend(self.finish(&flow, own_address));
             }
         }
         results
     }
 
-    /// When the oldest search times out. A search that has ended meanwhile still counts until then.
+    /// Returns when the oldest search times out. A search that has ended meanwhile still counts
+    /// until then.
     pub(crate) fn next_deadline(&self) -> Option<Moment> {
         self.start_order
             .front()
@@ -120,12 +124,12 @@
     fn finish(
         &mut self,
         flow: &FlowKey,
-        own: AgentAddress,
+        own_address: AgentAddress,
     ) -> Option<(AgentAddress, SearchResult)> {
         let search = self.pending.remove(flow)?;
         let result = SearchResult {
             flow: *flow,
-            delegate: own,
+            delegate: own_address,
             silent: search.unanswered.into_iter().collect(),
         };
         Some((search.balancer, result))
--- a/crates/flows/src/flow_table.rs
+++ b/crates/flows/src/flow_table.rs
@@ -9,7 +9,7 @@
 
 /// Flow state that expires when it is idle.
 pub(crate) trait LastActive {
-    /// When the flow's last packet was seen.
+    /// Returns when the flow's last packet was seen.
     fn last_active(&self) -> Moment;
 }
 
@@ -49,9 +49,9 @@
         self.entries.remove(flow)
     }
 
-    /// Inserts a flow. A full table first evicts flows that were idle for a tenth of `idle`. If it is
-    /// still full, it rejects the flow rather than grow, and the caller has to search for the flow
-    /// later. Returns whether the flow was inserted.
+    /// Inserts a flow. A full table first evicts flows that were idle for a tenth of `idle`. If it
+    /// is still full, it rejects the flow rather than grow, and the caller has to search for the
+    /// flow later. Returns whether the flow was inserted.
     pub(crate) fn insert(&mut self, flow: FlowKey, entry: E, idle: Duration, now: Moment) -> bool {
         if self.entries.len() >= self.limit && !self.entries.contains_key(&flow) {
             self.sweep(idle / 10, now);
--- a/crates/flows/src/frame.rs
+++ b/crates/flows/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames between balancers and agents. Each is one UDP datagram: a `postcard` value, followed by the
-//! packet as it was received if the frame carries one.
+//! Frames between balancers and agents. Each is one UDP datagram: a `postcard` value, followed by
+//! the packet as it was received if the frame carries one.
 
 use std::net::Ipv4Addr;
 use std::num::NonZeroU16;
@@ -24,8 +24,8 @@
     Search,
 }
 
-/// How many new flows per second a target can take while it is cold, and for how long it is cold. In tenths,
-/// so that an offer with four more candidates stays small.
+/// How many new flows per second a target can take while it is cold, and for how long it is cold.
+/// In tenths, so that an offer with four more candidates stays small.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WarmupLimit {
     /// New flows per second, in tenths.
@@ -37,8 +37,8 @@
 }
 
 impl WarmupLimit {
-    /// Creates the limit of an operator's rule, for a target that stays cold for `remaining`. Rounds to the
-    /// safe side: fewer flows, for longer.
+    /// Creates the limit of an operator's rule, for a target that stays cold for `remaining`.
+    /// Rounds to the safe side: fewer flows, for longer.
     #[must_use]
     pub fn new(rule: &WarmupRule, remaining: Duration) -> Self {
         let rate = u16::try_from(rule.rate_milli.get() / 100).unwrap_or(u16::MAX);
@@ -88,35 +88,36 @@
 pub struct Candidate {
     /// The address at which it receives frames.
     pub agent: AgentAddress,
-    /// The service of its target according to the sender. An agent of another service does not deliver
-    /// the packet: addresses are reused.
+    /// The service of its target according to the sender. An agent of another service does not
+    /// deliver the packet: addresses are reused.
     pub service: ServiceId,
-    /// How many requests that target runs at once.
+    /// How many requests that target runs concurrently.
     pub slots: u16,
-    /// How many new flows it can take while it is cold; `None` without a limit, and in frames other than
-    /// offers.
+    /// How many new flows it can take while it is cold; `None` without a limit, and in frames other
+    /// than offers.
     pub warmup: Option<WarmupLimit>,
 }
 
-/// A client's packet on its way to a target.
+/// The header of a client's packet on its way to a target; the packet follows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PacketFrame {
     /// The service of the receiver's target according to the sender.
     pub service: ServiceId,
     /// The balancer that read the packet; updates about the flow are sent to it.
     pub balancer: AgentAddress,
-    /// How many requests the receiver's target runs at once, according to the sender.
+    /// How many requests the receiver's target runs concurrently, according to the sender.
     pub slots: u16,
-    /// How many new flows that target can take while it is cold; `None` without a limit, and in frames
-    /// other than offers.
+    /// How many new flows that target can take while it is cold; `None` without a limit, and in
+    /// frames other than offers.
     pub warmup: Option<WarmupLimit>,
-    /// For an offer, the store revision up to which the balancer knew the evacuated zones; at that revision
-    /// neither the receiver's zone nor that of any agent in `rest` is evacuated. 0 if the balancer makes no such
-    /// statement: the packet is a copy of one that the receiver's target answered.
+    /// For an offer, the store revision up to which the balancer knew the evacuated zones; at that
+    /// revision neither the receiver's zone nor that of any agent in `rest` is evacuated. 0 if the
+    /// balancer makes no such statement: the packet is a copy of one that the receiver's target
+    /// answered.
     pub zones_revision: u64,
     /// Why the packet was sent to the receiver.
     pub purpose: FramePurpose,
-    /// The agent that counts the answers of a search; `None` for the balancer itself.
+    /// The delegate that collects the answers of a search; `None` if the balancer itself does.
     pub asker: Option<AgentAddress>,
     /// The agents to try next, best first. An agent that forwards the frame removes the one that it
     /// forwards to, so no agent receives the frame twice and the forwarding ends.
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Sets the agent that counts the answers of a search.
+    /// Sets the delegate that collects the answers of a search.
     #[must_use]
     pub fn with_asker(mut self, asker: AgentAddress) -> Self {
         self.asker = Some(asker);
@@ -147,23 +148,24 @@
     }
 }
 
-/// A balancer's request that an agent search for a flow at other agents; the client's packet follows.
+/// A balancer's request that an agent search for a flow at other agents; the client's packet
+/// follows.
 ///
-/// Without it, a balancer with a link of 11 Mbit/s and a twenty-fifth of a core has to ask 54 agents
-/// about each of a hundred lost flows after a power loss, with one packet per agent. That saturated
-/// link and core for seconds, and new flows waited. One datagram in each direction costs the balancer
-/// a fiftieth of that; agents have the capacity.
+/// Without it, a balancer with a link of 11 Mbit/s and a twenty-fifth of a core has to query 54
+/// agents for each of a hundred lost flows after a power loss, with one packet per agent. That
+/// saturated link and core for seconds, and new flows waited. One datagram in each direction costs
+/// the balancer a fiftieth of that; agents have the capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DelegatedSearch {
     /// The balancer that receives the result.
     pub balancer: AgentAddress,
     /// The service of the receiver's own target according to the balancer.
     pub service: ServiceId,
-    /// The agents to ask. They listen at the same port as the receiver.
+    /// The agents to query. They listen at the same port as the receiver.
     pub others: Vec<SearchGroup>,
 }
 
-/// The agents of one service that a delegated search asks.
+/// The agents of one service that a delegated search queries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SearchGroup {
     /// The service of their targets.
@@ -179,7 +181,8 @@
     pub flow: FlowKey,
     /// The agent that ran the search.
     pub delegate: AgentAddress,
-    /// The agents that did not deny holding the flow: either one of them holds it, or they did not answer.
+    /// The agents that did not report the flow as absent: one of them holds it, or they did not
+    /// answer.
     pub silent: SmallVec<[AgentAddress; 4]>,
 }
 
@@ -202,13 +205,13 @@
     pub failing: bool,
     /// Whether the agent is stopping.
     pub leaving: bool,
-    /// The store revision up to which the agent knows whether its zone is evacuated; 0 before the first
-    /// notice.
+    /// The store revision up to which the agent knows whether its zone is evacuated; 0 before the
+    /// first notice.
     pub zones_revision: u64,
     /// Whether its zone is evacuated, so that its target gets no new flows.
     pub evacuated: bool,
-    /// How many more new flows its cold target can take until the next report; `None` where no limit
-    /// applies.
+    /// How many more new flows its cold target can take until the next report; `None` where no
+    /// limit applies.
     pub room: Option<u16>,
 }
 
@@ -259,8 +262,8 @@
 /// A balancer's notice about the zone of the agent that it is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneNotice {
-    /// The store revision at which the notice is valid; a notice with a later revision supersedes it,
-    /// whichever balancer sends it.
+    /// The store revision at which the notice is valid; a notice with a later revision supersedes
+    /// it, whichever balancer sends it.
     pub revision: u64,
     /// Whether the zone is evacuated.
     pub evacuated: bool,
@@ -277,8 +280,9 @@
     Note(FlowUpdate),
     /// An agent's load, for a balancer.
     Load(LoadReport),
-    /// Liveness probe, which the agent answers with its load. Agents send unsolicited reports to some
-    /// balancers only, so a balancer has to probe an agent before it may conclude anything from silence.
+    /// Liveness probe, which the agent answers with its load. Agents send unsolicited reports to
+    /// some balancers only, so a balancer has to probe an agent before it may conclude anything
+    /// from silence.
     Probe {
         /// The balancer that receives the answer.
         balancer: AgentAddress,
@@ -289,8 +293,8 @@
     Errand(DelegatedSearch),
     /// The result of a delegated search, for its balancer.
     ErrandEnd(SearchResult),
-    /// A packet of an open flow for an agent that its balancer cannot reach; a complete frame with the packet
-    /// follows, and is forwarded unchanged.
+    /// A packet of an open flow for an agent that its balancer cannot reach; a complete frame with
+    /// the packet follows, and is forwarded unchanged.
     Relay {
         /// The agent to forward the frame to.
         to: AgentAddress,
@@ -318,15 +322,17 @@
     }
 }
 
-/// Writes a [`PeerFrame::Relay`] with an inner frame and its packet into `out`, which is cleared first.
+/// Writes a [`PeerFrame::Relay`] with an inner frame and its packet into `out`, which is cleared
+/// first.
 pub fn write_relay_frame(to: AgentAddress, frame: &PeerFrame, packet: &[u8], out: &mut Vec<u8>) {
     let mut inner = Vec::with_capacity(packet.len() + RELAYED_HEADER_BYTES);
     write_frame(frame, packet, &mut inner);
     write_frame(&PeerFrame::Relay { to }, &inner, out);
 }
 
-/// Whether the inner frame of a [`PeerFrame::Relay`] may be forwarded: only a packet of a known flow, so that
-/// no frame is relayed twice and no flow is offered without its balancer's knowledge.
+/// Returns whether the inner frame of a [`PeerFrame::Relay`] may be forwarded: only a packet of a
+/// known flow, so that no frame is relayed twice and no flow is offered without its balancer's
+/// knowledge.
 #[must_use]
 pub fn is_relayable(inner: &[u8]) -> bool {
     match read_frame(inner) {
--- a/crates/flows/src/load.rs
+++ b/crates/flows/src/load.rs
@@ -1,4 +1,5 @@
-//! What a balancer knows about the load and health of each target, and the score by which it chooses.
+//! What a balancer knows about the load and health of each target, and the score by which it
+//! chooses.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,8 +10,8 @@
 use crate::frame::LoadReport;
 use crate::ring::FlowTarget;
 
-/// An agent that was silent for this long after an offer is suspected. Agents report every 250 ms to
-/// balancers that send to them, so two reports must have been lost as well.
+/// An agent that was silent for this long after an offer is suspected. Agents report every 250 ms
+/// to balancers that send to them, so two reports must have been lost as well.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long a suspected target is skipped before it gets one more offer; doubles with each
@@ -27,20 +28,20 @@
 /// Time between two probes of an agent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Unanswered probes after which an agent counts as silent: two datagrams are not lost by chance, and each
-/// had fifty times a normal round trip.
+/// Unanswered probes after which an agent counts as silent: two datagrams are not lost by chance,
+/// and the answer to each had fifty times a normal round trip.
 const MIN_UNANSWERED_PROBES: u8 = 2;
 
-/// How long no agent must have been heard before the balancer considers itself isolated: fifty normal
-/// round trips, which include two probes of each agent.
+/// A balancer that has heard no agent for this long considers itself isolated: fifty normal round
+/// trips, which include two probes of each agent.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How many agents must be silent for that. A single one may be dead; three at once are not, unless
-/// their machines fail together.
+/// Number of silent agents from which on a balancer considers itself isolated. A single one may be
+/// dead; three at once are not, unless their machines fail together.
 const MIN_ISOLATION_AGENTS: usize = 3;
 
-/// How long an agent's report of the room of its cold target is valid: agents report every 250 ms, to eight
-/// balancers in turn.
+/// How long an agent's report of the room of its cold target is valid: agents report every 250 ms,
+/// to eight balancers in turn.
 const ROOM_TTL: Duration = Duration::from_secs(1);
 
 /// Cost of another zone in the score, in requests in progress per slot. Traffic between zones is
@@ -51,8 +52,8 @@
 /// request of some tens of milliseconds about once a second, whatever is in progress at the moment.
 const OPEN_FLOW_COST: f32 = 0.03;
 
-/// How much longer requests take at a target that has just started.
-const WARMING_FACTOR: f32 = 1.6;
+/// How much longer requests take at a cold target.
+const WARMUP_FACTOR: f32 = 1.6;
 
 /// Range of the random part of a score. Several balancers see the same reports; without it
 /// all of them would send their next flows to the same target.
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Whether the agent was sent frames for `timeout`, including probes, and was not heard since.
+    /// Returns whether the agent was sent frames for `timeout`, including probes, and was not heard
+    /// since.
     fn is_unheard(&self, timeout: Duration, now: Moment) -> bool {
         let timed_out = self
             .awaiting_since
@@ -103,7 +105,8 @@
     }
 }
 
-/// An agent's announcement that it is stopping. Valid until the agent is heard again, or for [`RESTART_GRACE`].
+/// An agent's announcement that it is stopping. Valid until the agent is heard again, or for
+/// [`RESTART_GRACE`].
 #[derive(Clone, Copy, Debug)]
 struct StopNotice {
     at: Moment,
@@ -147,8 +150,8 @@
         }
     }
 
-    /// Records a stop of an agent that another balancer was notified of. It only explains the agent's silence;
-    /// whether the agent takes new flows is determined by its own reports.
+    /// Records a stop of an agent that another balancer was notified of. It only explains the
+    /// agent's silence; whether the agent takes new flows is determined by its own reports.
     pub fn record_stop(&mut self, stop: &AgentStop, now: Moment) {
         let at = now - stop.age;
         let is_back = self
@@ -172,13 +175,13 @@
         stops.filter(|stop| stop.age < RESTART_GRACE).collect()
     }
 
-    /// Whether an agent may have announced a stop before this balancer could know of it.
+    /// Returns whether an agent may have announced a stop before this balancer could know of it.
     fn may_have_stopped(&self, load: &TargetLoad, now: Moment) -> bool {
         load.last_heard == Moment::ZERO && now.since(self.stops_known_since) < RESTART_GRACE
     }
 
-    /// Whether an agent was sent frames for `timeout`, including probes, and was not heard, while others
-    /// were, and is not known to be restarting.
+    /// Returns whether an agent was sent frames for `timeout`, including probes, and was not heard,
+    /// while others were, and is not known to be restarting.
     fn is_unreachable(&self, agent: AgentAddress, timeout: Duration, now: Moment) -> bool {
         let load = self.loads.get(&agent);
         load.is_some_and(|load| load.is_unheard(timeout, now))
@@ -186,7 +189,7 @@
             && self.heard_any_agent(timeout, now)
     }
 
-    /// Whether an agent announced a stop, and its successor may still be starting.
+    /// Returns whether an agent announced a stop, and its successor may still be starting.
     fn is_restarting(&self, agent: AgentAddress, now: Moment) -> bool {
         let notice = self.stops.get(&agent);
         notice.is_some_and(|notice| now.since(notice.at) < RESTART_GRACE)
@@ -214,8 +217,8 @@
         due
     }
 
-    /// Returns the agents that were sent frames for `timeout` and [`MIN_UNANSWERED_PROBES`] probes and were
-    /// not heard, although others were: if no agent is heard, the fault is on this balancer's side.
+    /// Returns the agents that were sent frames for `timeout` and at least two probes and were not
+    /// heard, although others were: if no agent is heard, the fault is on this balancer's side.
     /// Excludes agents that announced a stop, which will be restarted beside a live target.
     #[must_use]
     pub fn silent_agents(&self, timeout: Duration, now: Moment) -> Vec<AgentAddress> {
@@ -232,16 +235,17 @@
         silent.map(|(&agent, _)| agent).collect()
     }
 
-    /// Whether an agent has announced a stop, reported that its target does not answer, or been silent
-    /// for `timeout` while others were heard. If the store no longer lists the target either, it is gone.
+    /// Returns whether an agent has announced a stop, reported that its target does not answer, or
+    /// been silent for `timeout` while others were heard. If the store no longer lists the target
+    /// either, it is gone.
     #[must_use]
     pub fn is_gone(&self, agent: AgentAddress, timeout: Duration, now: Moment) -> bool {
         self.is_stopped(agent, now) || self.is_unreachable(agent, timeout, now)
     }
 
-    /// Whether an agent was sent frames for `timeout`, including probes, and was not heard, while others
-    /// were, and did not announce a stop. An agent that was never heard may have announced one to a balancer
-    /// that no longer exists.
+    /// Returns whether an agent was sent frames for `timeout`, including probes, and was not heard,
+    /// while others were, and did not announce a stop. An agent that was never heard may have
+    /// announced one to a balancer that no longer exists.
     #[must_use]
     pub fn is_silent(&self, agent: AgentAddress, timeout: Duration, now: Moment) -> bool {
         let load = self.loads.get(&agent);
@@ -249,7 +253,7 @@
         self.is_unreachable(agent, timeout, now) && !may_have_stopped
     }
 
-    /// Whether a frame sent to an agent has been unanswered for `timeout`.
+    /// Returns whether a frame sent to an agent has been unanswered for `timeout`.
     #[must_use]
     pub fn is_overdue(&self, agent: AgentAddress, timeout: Duration, now: Moment) -> bool {
         let load = self.loads.get(&agent);
@@ -262,13 +266,13 @@
         loads.any(|load| load.last_heard > Moment::ZERO && now.since(load.last_heard) < window)
     }
 
-    /// Whether this balancer is isolated: several agents were sent frames and probes, and neither they nor
-    /// any other agent was heard for [`ISOLATION_TIMEOUT`].
+    /// Returns whether this balancer is isolated: several agents were sent frames and probes, and
+    /// neither they nor any other agent was heard for half a second.
     ///
-    /// Otherwise a balancer that is partitioned from the fleet, but not from the routers, reports ready, and
-    /// every flow of its clients fails until the partition heals. Routers that see it not ready use other
-    /// balancers; if all balancers report this because all agents are down, routers that have no other choice
-    /// continue as before.
+    /// Without this check, a balancer that is partitioned from the fleet, but not from the routers,
+    /// reports ready, and every flow of its clients fails until the partition heals. Routers that
+    /// see it not ready use other balancers; if all balancers report this because all agents are
+    /// down, routers that have no other choice continue as before.
     #[must_use]
     pub fn is_isolated(&self, now: Moment) -> bool {
         if self.heard_any_agent(ISOLATION_TIMEOUT, now) {
@@ -299,7 +303,7 @@
         load.avoid_until = now + backoff;
     }
 
-    /// Whether the target should be skipped for new flows at the moment.
+    /// Returns whether the target should be skipped for new flows at the moment.
     #[must_use]
     pub fn is_suspected(&self, agent: AgentAddress, now: Moment) -> bool {
         self.loads.get(&agent).is_some_and(|load| {
@@ -308,15 +312,16 @@
         })
     }
 
-    /// Whether an agent reports its zone as evacuated, at a store revision later than `revision`.
+    /// Returns whether an agent reports its zone as evacuated, at a store revision later than
+    /// `revision`.
     #[must_use]
     pub fn knows_evacuated(&self, agent: AgentAddress, revision: u64) -> bool {
         let load = self.loads.get(&agent);
         load.is_some_and(|load| load.report.evacuated && load.report.zones_revision > revision)
     }
 
-    /// Whether a target is among the first choices: it is not suspected, and if it is cold, it has room for
-    /// one more flow according to its last report and the offers since.
+    /// Returns whether a target is among the first choices: it is not suspected, and if it is cold,
+    /// it has room for one more flow according to its last report and the offers since.
     #[must_use]
     pub fn is_eligible(&self, agent: AgentAddress, now: Moment) -> bool {
         let load = self.loads.get(&agent);
@@ -328,8 +333,9 @@
         has_room && !self.is_suspected(agent, now)
     }
 
-    /// Returns when an agent was last heard; `None` if it never was, or if it last reported that it is
-    /// stopping or that its target does not answer. Such an agent should not be asked to relay or search.
+    /// Returns when an agent was last heard; `None` if it never was, or if it last reported that it
+    /// is stopping or that its target does not answer. Such an agent should neither relay nor
+    /// search.
     #[must_use]
     pub fn last_healthy_report(&self, agent: AgentAddress) -> Option<Moment> {
         let load = self.loads.get(&agent)?;
@@ -338,7 +344,7 @@
         healthy.then_some(load.last_heard)
     }
 
-    /// Whether an agent has announced a stop, or reported that its target does not answer.
+    /// Returns whether an agent has announced a stop, or reported that its target does not answer.
     fn is_stopped(&self, agent: AgentAddress, now: Moment) -> bool {
         let load = self.loads.get(&agent);
         let unresponsive = load.is_some_and(|load| {
@@ -348,30 +354,30 @@
         unresponsive || self.is_restarting(agent, now)
     }
 
-    /// Returns the cost of one more flow at a target: requests in progress per slot, plus the costs of open
-    /// flows, warm-up and zone. `random` is between 0 and 1 and breaks ties.
+    /// Returns the cost of one more flow at a target: requests in progress per slot, plus the costs
+    /// of open flows, warm-up and zone. `random` is between 0 and 1 and breaks ties.
     #[must_use]
     pub fn score(&self, target: &FlowTarget, near: bool, random: f32, now: Moment) -> f32 {
         let load = self.loads.get(&target.agent);
         let requests = load.map_or(0.0, weighted_requests);
         let slots = f32::from(target.slots.max(1));
-        let warming = if now < target.warm_at {
-            WARMING_FACTOR
+        let warmup = if now < target.warm_at {
+            WARMUP_FACTOR
         } else {
             1.0
         };
         let cross_zone = if near { 0.0 } else { CROSS_ZONE_COST };
-        (requests + 1.0) / slots * warming + cross_zone + random * SCORE_JITTER
+        (requests + 1.0) / slots * warmup + cross_zone + random * SCORE_JITTER
     }
 
     /// Removes targets that were not heard for `idle`.
     pub fn expire_idle(&mut self, idle: Duration, now: Moment) {
-        let awaited = |load: &TargetLoad| {
+        let awaits_answer = |load: &TargetLoad| {
             load.awaiting_since
                 .is_some_and(|since| now.since(since) < idle)
         };
         self.loads.retain(|_, load| {
-            now.since(load.last_heard) < idle || now < load.avoid_until || awaited(load)
+            now.since(load.last_heard) < idle || now < load.avoid_until || awaits_answer(load)
         });
         self.stops
             .retain(|_, notice| now.since(notice.at) < RESTART_GRACE);
@@ -384,8 +390,8 @@
     }
 }
 
-/// Returns the load of a target in requests: the mean of the current and the average number in progress,
-/// plus the cost of its open flows.
+/// Returns the load of a target in requests: the mean of the current and the average number in
+/// progress, plus the cost of its open flows.
 #[allow(clippy::cast_precision_loss)]
 fn weighted_requests(load: &TargetLoad) -> f32 {
     let current = f32::from(load.report.in_progress) + f32::from(load.offers_since_report);
--- a/crates/flows/src/packet.rs
+++ b/crates/flows/src/packet.rs
@@ -64,7 +64,7 @@
 }
 
 impl FlowPacket {
-    /// Whether this is a client's first packet, which opens a flow.
+    /// Returns whether this is a client's first packet, which opens a flow.
     #[must_use]
     pub fn opens(&self) -> bool {
         self.flags.syn && !self.flags.ack
--- a/crates/flows/src/ring.rs
+++ b/crates/flows/src/ring.rs
@@ -67,7 +67,7 @@
 pub enum FlowStanding {
     /// The target accepts new flows.
     Serving,
-    /// Its entry disappeared during a store failure, which does not yet prove that it is gone.
+    /// Its entry vanished around a store failure, which does not yet prove that it is gone.
     Lapsed,
     /// Its entry cannot be read. The target is unusable, but it may still be alive.
     Unreadable,
--- a/crates/flows/src/view.rs
+++ b/crates/flows/src/view.rs
@@ -69,10 +69,10 @@
             return None;
         }
         // Uses the high half, because the low half determines the position on the ring.
-        let mut left = (point >> 32) % total;
+        let mut offset = (point >> 32) % total;
         for &(service, weight) in &self.shares {
-            match left.checked_sub(u64::from(weight)) {
-                Some(rest) => left = rest,
+            match offset.checked_sub(u64::from(weight)) {
+                Some(rest) => offset = rest,
                 None => return Some(service),
             }
         }
@@ -148,7 +148,7 @@
         targets.any(|target| target.agent == agent && target.may_be_alive())
     }
 
-    /// Returns the agents whose targets have all disappeared from the store and have this standing.
+    /// Returns the agents whose targets have all vanished from the store and have this standing.
     #[must_use]
     pub fn unlisted_agents(&self, standing: FlowStanding) -> Vec<AgentAddress> {
         let unlisted = self.unlisted.iter();
@@ -179,8 +179,8 @@
     ) -> bool {
         route.regions.as_ref().is_none_or(|regions| {
             let region = self.zones.region_of(target.zone);
-            let own = self.zones.region_of(self.zones.own);
-            regions.may_hold_flows(region, now) || (region.is_some() && region == own)
+            let own_region = self.zones.region_of(self.zones.own_zone);
+            regions.may_hold_flows(region, now) || (region.is_some() && region == own_region)
         })
     }
 
--- a/crates/flows/src/view/builder.rs
+++ b/crates/flows/src/view/builder.rs
@@ -76,7 +76,8 @@
     unrouted: Arc<Vec<ServiceName>>,
     zones: ZoneNames,
     regions: RegionMap,
-    /// Zones of targets without a region in the settings, found since they were last taken.
+    /// Zones of targets without a region in the settings, found since the last call of
+    /// [`take_zones_without_region`](Self::take_zones_without_region).
     without_region: Vec<ZoneName>,
     coverage: CoverageTracker,
 }
@@ -97,7 +98,7 @@
             unrouted: Arc::default(),
             coverage: CoverageTracker::new(),
         };
-        builder.view.zones.own = builder.zone_index(&zone);
+        builder.view.zones.own_zone = builder.zone_index(&zone);
         builder
     }
 
@@ -117,7 +118,7 @@
         index
     }
 
-    /// Records a store failure at `at`: an entry that disappears around it does not prove that its
+    /// Records a store failure at `at`: an entry that vanishes around it does not prove that its
     /// target is gone.
     pub fn record_store_failure(&mut self, at: Moment) {
         self.coverage.record_store_failure(at);
@@ -138,12 +139,13 @@
         self.view.zones.read_at = read_at;
     }
 
-    /// Sets whether this process is isolated, so that it would not learn of an evacuation.
+    /// Sets whether this process is cut off from the store and from all other balancers, so that it
+    /// would not learn of an evacuation.
     pub fn set_cut_off(&mut self, cut_off: bool) {
         self.view.zones.cut_off = cut_off;
     }
 
-    /// Returns whether this process would not learn of an evacuation.
+    /// Returns whether this process is cut off, so that it would not learn of an evacuation.
     #[must_use]
     pub fn is_cut_off(&self) -> bool {
         self.view.zones.cut_off
@@ -424,15 +426,15 @@
     }
 
     fn apply_routes(&mut self, routes: &[PublishedRoute], now: Moment) {
-        let mut gone: Vec<SocketAddrV4> = self.view.routes.keys().copied().collect();
-        gone.sort_unstable();
+        let mut removed: Vec<SocketAddrV4> = self.view.routes.keys().copied().collect();
+        removed.sort_unstable();
         for route in routes {
-            if let Ok(at) = gone.binary_search(&route.address) {
-                gone.remove(at);
+            if let Ok(at) = removed.binary_search(&route.address) {
+                removed.remove(at);
             }
             self.set_route(route.address, Some(route), now);
         }
-        for address in gone {
+        for address in removed {
             self.set_route(address, None, now);
         }
     }
@@ -442,10 +444,10 @@
     fn set_route(&mut self, address: SocketAddrV4, route: Option<&PublishedRoute>, now: Moment) {
         let shares = route.map_or_else(SmallVec::new, |route| self.shares_of(route));
         let before = self.view.routes.get(&address);
-        let left = before.into_iter().flat_map(|before| &before.shares);
-        let left = left.filter(|(service, _)| shares.iter().all(|(kept, _)| kept != service));
+        let dropped = before.into_iter().flat_map(|before| &before.shares);
+        let dropped = dropped.filter(|(service, _)| shares.iter().all(|(kept, _)| kept != service));
         let until = now + self.settings.flow_lifetime;
-        for &(service, _) in left {
+        for &(service, _) in dropped {
             let former = self.former.entry(address).or_default();
             former.retain(|(known, _)| *known != service);
             former.push((service, until));
@@ -477,8 +479,8 @@
         let allowed = self.regions.indices_of(&route.homes);
         let former_until = now + self.settings.flow_lifetime;
         let former = match before {
-            // The former regions are unknown: packets are not sent to other regions on the off
-            // chance.
+            // The former regions are unknown: packets are not sent to other regions without
+            // evidence that these may hold the flow.
             None => Some(RegionList::new()),
             Some(before) => match &before.regions {
                 Some(regions) if regions.allowed == allowed => return Some(regions.clone()),
--- a/crates/flows/src/view/coverage.rs
+++ b/crates/flows/src/view/coverage.rs
@@ -17,7 +17,7 @@
 /// restores its entry within 2 s after the store recovers.
 const STORE_FAILURE_WINDOW: Duration = Duration::from_secs(6);
 
-/// How long an entry that disappeared around a store failure may belong to a live target.
+/// How long an entry that vanished around a store failure may belong to a live target.
 const LAPSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long an unreadable entry may belong to a live target. A live target rewrites its entry with
@@ -120,13 +120,13 @@
         self.unreadable.retain(|name, _| names.contains(name));
     }
 
-    /// Returns whether an entry that disappears now may belong to a live target.
+    /// Returns whether an entry that vanishes now may belong to a live target.
     pub(super) fn has_recent_failure(&self, now: Moment) -> bool {
         self.last_failure
             .is_some_and(|at| now.since(at) < STORE_FAILURE_WINDOW)
     }
 
-    /// Returns until when a live target whose entry disappeared at `since` may be missing from the
+    /// Returns until when a live target whose entry vanished at `since` may be missing from the
     /// list.
     pub(super) fn lapse_end(&self, since: Moment) -> Moment {
         let end = since + LAPSE_TIMEOUT;
--- a/crates/flows/src/view/zones.rs
+++ b/crates/flows/src/view/zones.rs
@@ -1,8 +1,7 @@
 //! The zones of a view, and which of them get no new flows.
 //!
-//! Operators evacuate a zone before maintenance. Without this, the targets there would get new
-//! flows until they are shut down, which would break sessions although the zone was evacuated in
-//! time.
+//! Operators evacuate a zone before maintenance. Otherwise its targets would get new flows until
+//! they are shut down, which would break sessions although the zone was evacuated in time.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -47,15 +46,15 @@
     /// When the evacuated zones were read from the store, by this process or by the one that
     /// informed it.
     pub read_at: Moment,
-    /// Whether this process is isolated from the store and from all other balancers, so that it
+    /// Whether this process is cut off from the store and from all other balancers, so that it
     /// would not learn of an evacuation.
     pub cut_off: bool,
     /// The zone of this process.
-    pub own: ZoneIndex,
+    pub own_zone: ZoneIndex,
     /// The evacuated zones, whose targets get no new flows.
     pub evacuated: SmallVec<[ZoneIndex; 4]>,
-    /// The zones that accept new flows again, with the time of that: their targets may be cold
-    /// before their entries say so.
+    /// The zones that were restored after an evacuation, with the time of that: their targets may
+    /// be cold before their entries say so.
     pub restored: SmallVec<[(ZoneIndex, Moment); 2]>,
     /// The region of each zone, by zone index.
     pub(super) regions: Arc<ZoneRegions>,
@@ -90,7 +89,7 @@
     /// Returns whether a zone is this process's own zone.
     #[must_use]
     pub fn is_near(&self, zone: ZoneIndex) -> bool {
-        zone == self.own
+        zone == self.own_zone
     }
 
     /// Returns when a formerly evacuated zone was restored.
--- a/crates/flows/tests/all/agent.rs
+++ b/crates/flows/tests/all/agent.rs
@@ -16,7 +16,7 @@
 
 pub(crate) fn settings(started_with_target: bool) -> AgentSettings {
     AgentSettings {
-        own: agent(1),
+        own_address: agent(1),
         service: claims(),
         started_with_target,
         flow_lifetime: Duration::from_secs(60),
@@ -118,16 +118,16 @@
     );
 }
 
-/// Offers a flow that another agent could take as well. Returns whether the target was given it; if so, it
-/// answers.
-fn takes(agent: &mut FlowAgent, port: u16, millis: u64) -> bool {
+/// Offers a flow that another agent could accept as well. Returns whether it was delivered to the
+/// target, which then answers.
+fn accepts(agent: &mut FlowAgent, port: u16, millis: u64) -> bool {
     let offer = frame(FramePurpose::Offer, &[2]);
     let (step, _) = agent.handle_frame(offer, &opening(flow(port)), at(millis));
-    let taken = matches!(step, AgentStep::Deliver { .. });
-    if taken {
+    let accepted = matches!(step, AgentStep::Deliver { .. });
+    if accepted {
         agent.handle_target_packet(&answer(flow(port)), at(millis));
     }
-    taken
+    accepted
 }
 
 #[test]
@@ -373,9 +373,11 @@
 #[test]
 fn flows_that_are_about_to_open_count_as_requests() {
     let mut agent = informed_agent();
-    let taken = (1..=200).filter(|port| takes(&mut agent, *port, 0)).count();
+    let accepted = (1..=200)
+        .filter(|port| accepts(&mut agent, *port, 0))
+        .count();
     // Twice its three slots.
-    assert_eq!(taken, 6);
+    assert_eq!(accepted, 6);
     // Their clients never opened them: they had accepted another target's answer.
     agent.expire_idle(Duration::from_secs(60), at(600));
     assert_eq!(agent.status(at(600)).load.in_progress, 0);
@@ -410,23 +412,23 @@
         agent.handle_target_packet(&reset(flow(port)), at(millis));
     };
     fails(&mut agent, 1, 0);
-    assert!(takes(&mut agent, 2, 1), "one reset is not enough");
+    assert!(accepts(&mut agent, 2, 1), "one reset is not enough");
     agent.expire_idle(Duration::from_secs(60), at(600));
     fails(&mut agent, 3, 600);
     assert!(agent.status(at(600)).load.failing);
-    assert!(!takes(&mut agent, 4, 601));
+    assert!(!accepts(&mut agent, 4, 601));
     // As the last candidate it is used anyway: suspicion must not leave a service without targets.
     let last = frame(FramePurpose::Offer, &[]);
     delivered(agent.handle_frame(last, &opening(flow(5)), at(602)).0);
     agent.handle_target_packet(&answer(flow(5)), at(602));
     // After the backoff one flow at a time is admitted, and its outcome decides about the next.
     agent.expire_idle(Duration::from_secs(60), at(1_200));
-    assert!(takes(&mut agent, 6, 1_200));
-    assert!(!takes(&mut agent, 7, 1_200));
+    assert!(accepts(&mut agent, 6, 1_200));
+    assert!(!accepts(&mut agent, 7, 1_200));
     agent.handle_frame(frame(FramePurpose::Known, &[]), &data(flow(6)), at(1_202));
     agent.handle_target_packet(&response(flow(6)), at(1_220));
     assert!(!agent.status(at(1_220)).load.failing);
-    assert!(takes(&mut agent, 8, 1_221) && takes(&mut agent, 9, 1_221));
+    assert!(accepts(&mut agent, 8, 1_221) && accepts(&mut agent, 9, 1_221));
 }
 
 // Guards against an idle target that is skipped indefinitely: clients give up without closing their
@@ -614,6 +616,6 @@
     assert_eq!(delivered_count(&mut agent, 40..60, 1_050), 0);
     // The target answers, so all flows may use it again.
     agent.handle_target_packet(&answer(flow(20)), at(1_060));
-    assert!(takes(&mut agent, 90, 1_061));
-    assert!(takes(&mut agent, 91, 1_061));
+    assert!(accepts(&mut agent, 90, 1_061));
+    assert!(accepts(&mut agent, 91, 1_061));
 }
--- a/crates/flows/tests/all/delegated_search.rs
+++ b/crates/flows/tests/all/delegated_search.rs
@@ -38,8 +38,8 @@
     let mut delegate = informed_agent();
     let step =
         delegate.handle_delegated_search(&delegated_search(&[2, 3], &[4]), &data(flow(1)), at(0));
-    let (to, own) = step.update.expect("an update of the delegate itself");
-    assert_eq!((to, own.event), (balancer(), FlowEvent::Absent));
+    let (to, update) = step.update.expect("an update of the delegate itself");
+    assert_eq!((to, update.event), (balancer(), FlowEvent::Absent));
     assert!(matches!(step.local, AgentStep::Drop(_)));
     let receivers: Vec<_> = step.remote.iter().map(|(to, _)| *to).collect();
     assert_eq!(receivers, [agent(2), agent(3), agent(4)]);
--- a/crates/flows/tests/all/empty_fleet.rs
+++ b/crates/flows/tests/all/empty_fleet.rs
@@ -50,8 +50,8 @@
             if self.silent.contains(to) {
                 continue;
             }
-            if let PeerFrame::Errand(errand) = frame {
-                let others = delegated_agents(*to, errand);
+            if let PeerFrame::Errand(search) = frame {
+                let others = delegated_agents(*to, search);
                 for other in &others {
                     *self.shown.entry(*other).or_default() += 1;
                 }
@@ -120,9 +120,9 @@
 /// The agents that a delegated search names; they listen at the delegate's own port.
 pub(crate) fn delegated_agents(
     delegate: AgentAddress,
-    errand: &DelegatedSearch,
+    search: &DelegatedSearch,
 ) -> Vec<AgentAddress> {
-    let instances = errand.others.iter().flat_map(|group| &group.instances);
+    let instances = search.others.iter().flat_map(|group| &group.instances);
     let port = delegate.0.port();
     instances
         .map(|instance| AgentAddress(SocketAddrV4::new(*instance, port)))
--- a/crates/flows/tests/all/load.rs
+++ b/crates/flows/tests/all/load.rs
@@ -134,7 +134,7 @@
 
 struct SilenceCase {
     name: &'static str,
-    other_heard: Option<u64>,
+    other_last_heard: Option<u64>,
     leaving: bool,
     expected: bool,
 }
@@ -144,19 +144,19 @@
     let cases = [
         SilenceCase {
             name: "another agent reports",
-            other_heard: Some(1_900),
+            other_last_heard: Some(1_900),
             leaving: false,
             expected: true,
         },
         SilenceCase {
             name: "no agent reports: the fault is on this side",
-            other_heard: None,
+            other_last_heard: None,
             leaving: false,
             expected: false,
         },
         SilenceCase {
             name: "it announced a stop: its successor is starting",
-            other_heard: Some(1_900),
+            other_last_heard: Some(1_900),
             leaving: true,
             expected: false,
         },
@@ -172,8 +172,8 @@
         for probed in [1_300, 1_500, 1_700] {
             loads.due_probes(at(probed));
         }
-        if let Some(heard) = case.other_heard {
-            loads.record_report(&idle_load(agent(2)), at(heard));
+        if let Some(last_heard) = case.other_last_heard {
+            loads.record_report(&idle_load(agent(2)), at(last_heard));
         }
         let silent = loads.silent_agents(Duration::from_millis(800), at(2_000));
         assert_eq!(silent.contains(&agent(1)), case.expected, "{}", case.name);
@@ -185,7 +185,7 @@
     /// Number of agents that are sent frames and stay silent.
     silent: u8,
     /// When another agent was last heard, in milliseconds.
-    heard: Option<u64>,
+    last_heard: Option<u64>,
     expected: bool,
 }
 
@@ -198,31 +198,31 @@
         IsolationCase {
             name: "no agent answers",
             silent: 4,
-            heard: None,
+            last_heard: None,
             expected: true,
         },
         IsolationCase {
             name: "another agent answers",
             silent: 4,
-            heard: Some(1_700),
+            last_heard: Some(1_700),
             expected: false,
         },
         IsolationCase {
             name: "another agent answered, before the silence",
             silent: 4,
-            heard: Some(900),
+            last_heard: Some(900),
             expected: true,
         },
         IsolationCase {
             name: "two agents may be dead",
             silent: 2,
-            heard: None,
+            last_heard: None,
             expected: false,
         },
         IsolationCase {
-            name: "no agent was asked: there is no traffic",
+            name: "no agent was sent a frame: there is no traffic",
             silent: 0,
-            heard: None,
+            last_heard: None,
             expected: false,
         },
     ];
@@ -234,8 +234,8 @@
         for probed in [1_250, 1_450] {
             loads.due_probes(at(probed));
         }
-        if let Some(heard) = case.heard {
-            loads.record_report(&idle_load(agent(9)), at(heard));
+        if let Some(last_heard) = case.last_heard {
+            loads.record_report(&idle_load(agent(9)), at(last_heard));
         }
         assert!(!loads.is_isolated(at(1_300)), "{}: too early", case.name);
         assert_eq!(loads.is_isolated(at(2_000)), case.expected, "{}", case.name);
--- a/crates/flows/tests/all/loss.rs
+++ b/crates/flows/tests/all/loss.rs
@@ -56,7 +56,7 @@
 }
 
 // Guards against clients that each lose their next request to its deadline, because their target's
-// machine died and nothing resets their flows. Also guards against the reset of a living target's
+// machine died and nothing resets their flows. Also guards against the reset of a live target's
 // flow, which breaks a session, or a filing that is still running.
 #[test]
 fn a_lost_flow_is_reset_and_no_other() {
@@ -83,7 +83,7 @@
             ..base
         },
         LossCase {
-            name: "silent agent that announced its stop beside a living target",
+            name: "silent agent that announced its stop beside a live target",
             heard: false,
             stops: true,
             ..base
@@ -164,11 +164,11 @@
     let (first, _) = sent(step);
     let second = balancer.due_offers(&view, at(100))[0].to;
     balancer.handle_flow_update(&flow_update(flow(1), second, FlowEvent::Answered), at(101));
-    let stops = LoadReport {
+    let stopping = LoadReport {
         leaving: true,
         ..idle_load(second)
     };
-    balancer.record_load(&stops, at(1_000));
+    balancer.record_load(&stopping, at(1_000));
     let left = both.targets.iter().filter_map(|row| row.target());
     let left = left.filter(|target| *target.address.ip() == *first.0.ip());
     builder.apply(&catalog(left.cloned().collect()), at(1_000));
@@ -179,11 +179,11 @@
     assert_eq!(sent(step).0, first);
     // Once the flow is known to be open at a target, it is lost with that target.
     balancer.handle_flow_update(&flow_update(flow(1), first, FlowEvent::Opened), at(1_003));
-    let stops = LoadReport {
+    let stopping = LoadReport {
         leaving: true,
         ..idle_load(first)
     };
-    balancer.record_load(&stops, at(2_000));
+    balancer.record_load(&stopping, at(2_000));
     builder.apply(&catalog(Vec::new()), at(2_000));
     let view = builder.build(at(2_000));
     assert_eq!(balancer.lost_flows(&view, at(2_001)).len(), 1);
@@ -206,7 +206,7 @@
     assert_eq!(resets.len(), 1, "longer than that it is");
 }
 
-// Guards against the reset of a living target's open flow. A balancer is paused for seconds with a
+// Guards against the reset of a live target's open flow. A balancer is paused for seconds with a
 // client's first packet unread, and the client's retransmission opens the flow through another
 // balancer. The paused balancer resumes and offers its copy to a second target, which answers; then
 // that target's machine goes silent, and the client's packets come to this balancer. An answer to a
@@ -375,7 +375,7 @@
             expected: 10_000 + restart,
         },
         FreshCase {
-            name: "told by a long-running balancer",
+            name: "informed by a long-running balancer",
             since: 1_000,
             heard: false,
             expected: 11_000,
@@ -420,7 +420,7 @@
 #[test]
 fn only_directly_announced_stops_are_relayed() {
     let balancer = FlowBalancer::new(balancer());
-    let stops = LoadReport {
+    let stopping = LoadReport {
         leaving: true,
         ..idle_load(agent(1))
     };
@@ -428,10 +428,10 @@
         agent: agent(2),
         age: Duration::ZERO,
     };
-    balancer.record_load(&stops, at(0));
+    balancer.record_load(&stopping, at(0));
     balancer.record_stops(&[second_hand], at(0));
-    let heard = balancer.direct_stops(at(100));
-    let agents: Vec<_> = heard.iter().map(|stop| stop.agent).collect();
+    let stops = balancer.direct_stops(at(100));
+    let agents: Vec<_> = stops.iter().map(|stop| stop.agent).collect();
     assert_eq!(agents, [agent(1)]);
     balancer.record_load(&idle_load(agent(1)), at(900));
     assert_eq!(balancer.direct_stops(at(1_000)), [], "it is back");
--- a/crates/flows/tests/all/regions.rs
+++ b/crates/flows/tests/all/regions.rs
@@ -150,7 +150,7 @@
         .iter()
         .flat_map(|(to, frame)| {
             let others = match frame {
-                PeerFrame::Errand(errand) => errand.others.clone(),
+                PeerFrame::Errand(search) => search.others.clone(),
                 _ => Vec::new(),
             };
             let others = others.into_iter().flat_map(|group| group.instances);
@@ -172,7 +172,7 @@
 ) -> bool {
     let view = builder.build(now);
     let absent = (1..=9).map(|number| flow_update(flow(port), agent(number), FlowEvent::Absent));
-    let resets = absent.filter_map(|note| decisions.handle_flow_update(&note, now).reset);
+    let resets = absent.filter_map(|update| decisions.handle_flow_update(&update, now).reset);
     let resets = resets.count();
     let due = decisions.due_searches(&view, now + std::time::Duration::from_millis(30));
     resets > 0 || due.iter().any(|due| matches!(due, DueSearch::Lost(_)))
--- a/crates/flows/tests/all/relay.rs
+++ b/crates/flows/tests/all/relay.rs
@@ -30,14 +30,14 @@
     agent.0.ip().octets()[3] % 3
 }
 
-/// A balancer that has a flow open at agent 1 and last hears the agents in `hears` at `heard`.
-fn with_flow(view: &FlowView, hears: &[u8], heard: Moment) -> FlowBalancer {
+/// A balancer that has a flow open at agent 1 and last hears the agents in `heard` at `last_heard`.
+fn with_flow(view: &FlowView, heard: &[u8], last_heard: Moment) -> FlowBalancer {
     let balancer = FlowBalancer::new(balancer());
     balancer.handle_packet(&opening(flow(1)), b"syn", view, at(0));
     balancer.handle_flow_update(&flow_update(flow(1), agent(1), FlowEvent::Answered), at(1));
     balancer.handle_flow_update(&flow_update(flow(1), agent(1), FlowEvent::Opened), at(2));
-    for &number in hears {
-        balancer.record_load(&idle_load(agent(number)), heard);
+    for &number in heard {
+        balancer.record_load(&idle_load(agent(number)), last_heard);
     }
     balancer
 }
--- a/crates/flows/tests/all/search.rs
+++ b/crates/flows/tests/all/search.rs
@@ -30,8 +30,8 @@
         assert!(agents.insert(*to), "{to} is shown the packet twice");
         match frame {
             PeerFrame::Packet(frame) => assert_eq!(frame.purpose, FramePurpose::Search),
-            PeerFrame::Errand(errand) => {
-                for other in delegated_agents(*to, errand) {
+            PeerFrame::Errand(search) => {
+                for other in delegated_agents(*to, search) {
                     assert!(agents.insert(other), "{other} is shown the packet twice");
                 }
             }
@@ -400,8 +400,8 @@
         balancer.handle_search_result(&result(smallvec![]), at(13)),
         None
     );
-    let own = flow_update(flow(1), delegate, FlowEvent::Absent);
-    assert!(balancer.handle_flow_update(&own, at(13)).reset.is_some());
+    let absent = flow_update(flow(1), delegate, FlowEvent::Absent);
+    assert!(balancer.handle_flow_update(&absent, at(13)).reset.is_some());
 }
 
 /// A balancer that has used up its budget for direct queries.
@@ -431,8 +431,8 @@
     let step = balancer.handle_packet(&data(flow(1)), b"data", &view, at(10));
     assert_eq!(delegate_of(step.clone()), agent(7));
     assert_eq!(queried(step), agents(12));
-    let own = flow_update(flow(1), agent(7), FlowEvent::Absent);
-    assert_eq!(balancer.handle_flow_update(&own, at(12)).reset, None);
+    let absent = flow_update(flow(1), agent(7), FlowEvent::Absent);
+    assert_eq!(balancer.handle_flow_update(&absent, at(12)).reset, None);
     let result = SearchResult {
         flow: flow(1),
         delegate: agent(7),
@@ -565,7 +565,7 @@
 }
 
 // Guards against the same delay where the agent beside the target has announced its stop. A
-// stopping agent may be about to restart beside a living target, so its silence is proof only if
+// stopping agent may be about to restart beside a live target, so its silence is proof only if
 // the target is no longer listed.
 #[test]
 fn an_agent_that_stopped_after_its_target_left_is_not_waited_for() {
--- a/crates/flows/tests/all/search_silence.rs
+++ b/crates/flows/tests/all/search_silence.rs
@@ -177,7 +177,7 @@
 }
 
 // Guards against 150 ms more for the first request on each open flow, for five seconds. All
-// processes were killed beside living targets, and some agents had stopped with their targets just
+// processes were killed beside live targets, and some agents had stopped with their targets just
 // before. A flow's target is no longer among its candidates, but such a silent agent is; the second
 // phase must not wait for it as long as for a late answer.
 #[test]
--- a/crates/flows/tests/all/view.rs
+++ b/crates/flows/tests/all/view.rs
@@ -16,10 +16,10 @@
 
 struct RemovalCase {
     name: &'static str,
-    /// How long before the entry disappears the store failed, in milliseconds.
+    /// How long before the entry vanishes the store failed, in milliseconds.
     failure_before_ms: Option<u64>,
     leaving: bool,
-    /// How long after the entry disappeared the view is checked, in milliseconds.
+    /// How long after the entry vanished the view is checked, in milliseconds.
     checked_after_ms: u64,
     expected: FlowStanding,
 }
--- a/crates/flows/tests/all/warmup.rs
+++ b/crates/flows/tests/all/warmup.rs
@@ -1,5 +1,6 @@
-//! Warm-up limits: targets are cold because they were added, restarted or came back with their zone, while many
-//! clients open flows at once. Each can take a limited number of new flows per second.
+//! Warm-up limits: targets are cold because they were added, restarted or came back with their
+//! zone, while many clients open flows at once. Each can take a limited number of new flows per
+//! second.
 
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -21,7 +22,8 @@
 /// How long a target is cold in these tests.
 const COLD_MS: u32 = 2_000;
 
-/// How many requests the target runs at once in these tests, and so how many flows it is given at once.
+/// How many requests the target runs at once in these tests, and so how many flows it is given at
+/// once.
 const SLOTS: usize = 3;
 
 /// The maximum for one second: one and a half times the rate, plus five.
@@ -468,7 +470,8 @@
     }
 }
 
-/// Returns the warm-up limit in an offer to the only target: flows per second and remaining milliseconds.
+/// Returns the warm-up limit in an offer to the only target: flows per second and remaining
+/// milliseconds.
 fn offered_limit(
     flow_balancer: &FlowBalancer,
     view: &FlowView,
--- a/crates/flows/tests/all/zones.rs
+++ b/crates/flows/tests/all/zones.rs
@@ -234,9 +234,9 @@
 
     let mut restarted = restarted_agent();
     restarted.handle_zone_notice(&notice(2, true), at(0));
-    let (step, note) = restarted.handle_frame(copy, &opening(flow(1)), at(200));
+    let (step, update) = restarted.handle_frame(copy, &opening(flow(1)), at(200));
     assert_eq!(step, AgentStep::Drop(DropReason::ZoneEvacuated));
-    assert_eq!(note, None);
+    assert_eq!(update, None);
 }
 
 /// A message that an agent receives.
@@ -326,9 +326,9 @@
             .handle_zone_notice(&notice(6, true), at(0))
             .is_some()
     );
-    let (step, note) = decisions.handle_frame(offer(5, &[]), &opening(flow(1)), at(0));
+    let (step, update) = decisions.handle_frame(offer(5, &[]), &opening(flow(1)), at(0));
     assert_eq!(step, AgentStep::Reset);
-    assert_eq!(note.expect("an update").1.event, FlowEvent::Refused);
+    assert_eq!(update.expect("an update").1.event, FlowEvent::Refused);
 }
 
 #[test]
--- a/tests/matrix/src/opaque/process.rs
+++ b/tests/matrix/src/opaque/process.rs
@@ -119,7 +119,7 @@
 
 fn new_agent(own: AgentAddress, service: ServiceId, sees_all: bool, now: Moment) -> FlowAgent {
     let settings = AgentSettings {
-        own,
+        own_address: own,
         service,
         started_with_target: sees_all,
         flow_lifetime: FLOW_LIFETIME,
