--- a/bins/balancer/src/opaque/catalog.rs
+++ b/bins/balancer/src/opaque/catalog.rs
@@ -383,7 +383,7 @@
             head,
             version,
             from,
-        } => info!(log, "catalog applied";
+        } => info!(log, "catalog taken";
             "decision" => DecisionKind::ConfigTaken,
             "version" => version.0,
             "routes_revision" => head.routes.revision,
@@ -391,11 +391,11 @@
             "from" => from.map_or_else(|| "store".to_owned(), |peer| peer.to_string())),
         CatalogNotice::Refused(error) => warn!(log, "catalog change refused";
             "decision" => DecisionKind::ConfigRefused, "error" => error.to_string()),
-        CatalogNotice::Conflict(peer) => warn!(log, "same revision with different content";
+        CatalogNotice::Conflict(peer) => warn!(log, "another content of the same revision";
             "decision" => DecisionKind::ConfigRefused, "balancer" => peer.to_string()),
-        CatalogNotice::StoreFailed(failure) => warn!(log, "store unavailable";
+        CatalogNotice::StoreFailed(failure) => warn!(log, "store lost";
             "reason" => format!("{failure:?}")),
-        CatalogNotice::StoreRecovered => info!(log, "store available again"),
-        CatalogNotice::Members(members) => info!(log, "balancers changed"; "members" => members),
+        CatalogNotice::StoreRecovered => info!(log, "store regained"),
+        CatalogNotice::Members(members) => info!(log, "balancers known"; "members" => members),
     }
 }
--- a/bins/balancer/src/opaque/decision_log.rs
+++ b/bins/balancer/src/opaque/decision_log.rs
@@ -92,7 +92,7 @@
             return;
         };
         let reason = match reset.reason {
-            LossReason::Unheld => "no agent holds it",
+            LossReason::Unheld => "nobody holds it",
             LossReason::TargetGone => "target gone",
             LossReason::AgentSilent => "agent silent",
         };
--- a/standins/soak/src/process.rs
+++ b/standins/soak/src/process.rs
@@ -89,7 +89,7 @@
             if self.stop_deadline.is_none() {
                 self.unexpected_exits += 1;
                 // The log of the process may not show it, for example after a fatal signal.
-                eprintln!("{} exited unexpectedly: {status}", self.settings.display());
+                eprintln!("{} ended by itself: {status}", self.settings.display());
             }
         }
     }
