--- a/bins/agent/src/backend/connection.rs
+++ b/bins/agent/src/backend/connection.rs
@@ -62,7 +62,7 @@
         stream.set_nodelay(true)?;
         let (sender, connection) = builder.handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move {
-            // The request or body that the error ends reports it.
+            // An error is reported by the request or body that it ends.
             let _ = connection.await;
         });
         Ok(Self {
--- a/bins/agent/src/backend/link.rs
+++ b/bins/agent/src/backend/link.rs
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Cancels an attempt whose caller left, then releases its slot, in a background task.
+    /// Cancels an attempt, then releases its slot, in a background task.
     ///
-    /// A caller that leaves is no evidence about the server. If such responses counted as lost, a
-    /// few in a row would make the gate consider the server broken and close its slots to all other
-    /// callers; so only a server that does not respond to the cancellation counts as such. `known`
-    /// is the outcome of the slot if it is already known.
+    /// `known` is the outcome of the slot if it is already known. It is `None` if the caller left,
+    /// which is no evidence about the server. If such responses counted as lost, a few in a row
+    /// would make the gate consider the server broken and close its slots to all other callers; so
+    /// the slot counts as lost only if the server does not respond to the cancellation.
     pub(crate) fn spawn_cancel(
         self: &Arc<Self>,
         attempt: AttemptId,
--- a/bins/agent/src/dispatch.rs
+++ b/bins/agent/src/dispatch.rs
@@ -43,7 +43,7 @@
         let mut request = request.clone();
         let mut tried: SmallVec<[AgentAddress; INLINE_GATES]> = SmallVec::new();
         loop {
-            let (gate, end) = match self.choose(&request, &tried) {
+            let (gate, outcome) = match self.choose(&request, &tried) {
                 PlacementChoice::Own => (
                     self.address(),
                     self.run_at_local_gate(&request, attempt).await,
@@ -56,8 +56,8 @@
                     retry_after,
                 } => return AttemptOutcome::NotRun(Refusal::new(reason, retry_after)),
             };
-            let AttemptOutcome::NotRun(refusal) = end else {
-                return end;
+            let AttemptOutcome::NotRun(refusal) = outcome else {
+                return outcome;
             };
             tried.push(gate);
             info!(self.log, "gate refused"; "decision" => DecisionKind::RequestRefused,
@@ -86,8 +86,8 @@
             .map_or(allowance, |returned| allowance.capped_by(returned));
         let left = left.for_retry()?;
         let agency = request.agency.as_ref();
-        let paid = self.budgets.lock().try_spend(agency, self.clock.now());
-        paid.then_some(left)
+        let granted = self.budgets.lock().try_spend(agency, self.clock.now());
+        granted.then_some(left)
     }
 
     /// Counts the first attempt of a request, which adds to its agency's retry budget.
@@ -148,16 +148,16 @@
         let exchange = self.backend.exchange(request, attempt);
         tokio::pin!(exchange);
         match tokio::time::timeout_at(limit, &mut exchange).await {
-            Ok(end) => self.conclude(in_flight, end),
+            Ok(outcome) => self.conclude(in_flight, outcome),
             Err(_) => self.cancel_in_flight(in_flight, exchange, reserve).await,
         }
     }
 
     /// Closes the attempt according to how its exchange with the backend server ended.
-    fn conclude(&self, mut in_flight: BackendAttempt, end: BackendOutcome) -> AttemptOutcome {
-        match end {
-            BackendOutcome::Answered(answer) => {
-                AttemptOutcome::Answered(in_flight.into_response(answer))
+    fn conclude(&self, mut in_flight: BackendAttempt, outcome: BackendOutcome) -> AttemptOutcome {
+        match outcome {
+            BackendOutcome::Answered(response) => {
+                AttemptOutcome::Answered(in_flight.into_response(response))
             }
             BackendOutcome::NotSent => {
                 in_flight.close(SlotOutcome::Lost);
@@ -194,13 +194,13 @@
         let cancelling = tokio::time::timeout(limit, self.backend.cancel(in_flight.attempt));
         let cancelled = tokio::select! {
             biased;
-            end = &mut exchange => return self.conclude(in_flight, end),
+            outcome = &mut exchange => return self.conclude(in_flight, outcome),
             cancelled = cancelling => cancelled.unwrap_or(CancelOutcome::NoResponse),
         };
         if cancelled == CancelOutcome::Cancelled
-            && let Ok(end) = tokio::time::timeout(CLOSE_DETECTION_TIMEOUT, &mut exchange).await
+            && let Ok(outcome) = tokio::time::timeout(CLOSE_DETECTION_TIMEOUT, &mut exchange).await
         {
-            return self.conclude(in_flight, end);
+            return self.conclude(in_flight, outcome);
         }
         in_flight.close(match cancelled {
             CancelOutcome::Cancelled | CancelOutcome::AlreadyStarted => SlotOutcome::Abandoned,
@@ -227,19 +227,19 @@
             "attempt" => attempt.to_string(), "peer" => peer.to_string());
         let sent = Instant::now();
         let _in_flight = PeerAttempt::new(self, peer);
-        let terms = self.relay_terms(attempt, None);
-        let end = self.relays.relay(peer, request, terms).await;
-        self.metrics.relays.count(end.label());
-        let reached = !matches!(end, RelayOutcome::PeerUnreachable);
+        let context = self.relay_context(attempt, None);
+        let outcome = self.relays.relay(peer, request, context).await;
+        self.metrics.relays.count(outcome.label());
+        let reached = !matches!(outcome, RelayOutcome::PeerUnreachable);
         self.fleet.record_exchange(peer, reached);
-        let end = match end {
-            RelayOutcome::Ended(end) => end,
+        let outcome = match outcome {
+            RelayOutcome::Ended(outcome) => outcome,
             RelayOutcome::PeerUnreachable => {
                 self.record_peer_outcome(peer, PeerOutcome::Lost);
                 return AttemptOutcome::NotRun(no_reachable_peer());
             }
         };
-        let outcome = match &end {
+        let peer_outcome = match &outcome {
             AttemptOutcome::Answered(_) => PeerOutcome::Answered {
                 response_time: sent.elapsed(),
                 report: None,
@@ -250,11 +250,11 @@
             },
             AttemptOutcome::Unknown => PeerOutcome::Lost,
         };
-        self.record_peer_outcome(peer, outcome);
-        end
+        self.record_peer_outcome(peer, peer_outcome);
+        outcome
     }
 
-    pub(crate) fn relay_terms(&self, attempt: AttemptId, ticket: Option<String>) -> RelayContext {
+    pub(crate) fn relay_context(&self, attempt: AttemptId, ticket: Option<String>) -> RelayContext {
         RelayContext {
             attempt,
             service: self.service,
--- a/bins/agent/src/drain.rs
+++ b/bins/agent/src/drain.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// The state between serving and leaving, with a count of the work in progress.
+/// Whether the agent serves or is leaving, with a count of the work in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct DrainState {
     /// Set once callers' packets are accepted.
--- a/bins/agent/src/gateway/call.rs
+++ b/bins/agent/src/gateway/call.rs
@@ -110,7 +110,7 @@
     ) -> RelayContext {
         RelayContext {
             service: service.id(),
-            ..self.relay_terms(attempt, ticket)
+            ..self.relay_context(attempt, ticket)
         }
     }
 
--- a/bins/agent/src/handover.rs
+++ b/bins/agent/src/handover.rs
@@ -45,8 +45,8 @@
 
 /// The peers that are not leaving, including those that are listed but have sent no report yet. A
 /// replacement that has just started, or whose backend server is still starting, accepts no work
-/// yet, but callers file at it soon after. Without the ledger it would answer "unknown" for as
-/// long as the list names the stopped home.
+/// yet, but callers send filings to it soon after. Without the ledger it would answer "unknown" for
+/// as long as the list names the stopped home.
 fn successors(agent: &Agent) -> Vec<AgentAddress> {
     let reports = agent.fleet.peer_reports();
     let remains =
--- a/bins/agent/src/once/filing.rs
+++ b/bins/agent/src/once/filing.rs
@@ -91,7 +91,7 @@
         // partitioned for a moment then still runs it.
         let retry_until = Instant::now() + request.time_left() / HOME_RETRY_DIVISOR;
         loop {
-            let context = self.relay_terms(attempt, Some(key.to_owned()));
+            let context = self.relay_context(attempt, Some(key.to_owned()));
             let outcome = self.relays.relay(home, &request, context).await;
             self.metrics.relays.count(outcome.label());
             let reached = !matches!(outcome, RelayOutcome::PeerUnreachable);
--- a/bins/agent/src/opaque/packets.rs
+++ b/bins/agent/src/opaque/packets.rs
@@ -34,8 +34,8 @@
     pub(crate) clock: ProcessClock,
     /// Datagrams received so far; logged when the agent stops.
     pub(crate) received: AtomicU64,
-    /// Set to stop the packet thread.
-    pub(crate) stopped: AtomicBool,
+    /// Set to make the packet thread exit.
+    pub(crate) shutdown: AtomicBool,
 }
 
 /// The sockets of the packet path.
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Processes packets until [`PacketState::stopped`] is set.
+    /// Processes packets until [`PacketState::shutdown`] is set.
     pub(crate) fn run(&mut self) -> io::Result<()> {
-        while !self.state.stopped.load(Ordering::Relaxed) {
+        while !self.state.shutdown.load(Ordering::Relaxed) {
             let now = self.state.clock.now();
             let timeout = self.next_timeout(now);
             let sockets = [&self.sockets.outbound, &self.sockets.frames];
--- a/bins/agent/src/opaque/process.rs
+++ b/bins/agent/src/opaque/process.rs
@@ -58,7 +58,7 @@
         agent: Mutex::new(FlowAgent::new(agent_settings, clock.now())),
         clock,
         received: AtomicU64::new(0),
-        stopped: AtomicBool::new(false),
+        shutdown: AtomicBool::new(false),
     });
     start_packet_path(&settings, &state, packet_metrics, &log)?;
     register_gauges(&metrics.meter(), &state);
@@ -75,7 +75,7 @@
     info!(log, "agent stops");
     state.agent.lock().set_leaving();
     tokio::time::sleep(STOP_GRACE.min(common.stop_timeout / 2)).await;
-    state.stopped.store(true, Ordering::Relaxed);
+    state.shutdown.store(true, Ordering::Relaxed);
     info!(log, "agent stopped"; "packets" => state.received.load(Ordering::Relaxed));
     Ok(())
 }
@@ -143,22 +143,22 @@
 ) {
     let ready = ReadyFlag::default();
     ready.set(true);
-    let answers = AgentOperations {
+    let inspector = AgentInspector {
         state: Arc::clone(state),
         service: settings.service.clone(),
     };
-    serve_opaque(&settings.common, READY_PATH, ready, metrics, answers, log);
+    serve_opaque(&settings.common, READY_PATH, ready, metrics, inspector, log);
 }
 
-/// Answers operators' queries on the operations server.
-struct AgentOperations {
+/// Answers operators' queries about the state of the agent.
+struct AgentInspector {
     state: Arc<PacketState>,
     service: ServiceName,
 }
 
-impl OpaqueInspector for AgentOperations {
+impl OpaqueInspector for AgentInspector {
     fn status(&self) -> serde_json::Value {
-        status_of(&self.state)
+        status_json(&self.state)
     }
 
     fn explain(&self, client: SocketAddrV4, address: SocketAddrV4) -> serde_json::Value {
@@ -196,7 +196,7 @@
         .build();
 }
 
-fn status_of(state: &PacketState) -> serde_json::Value {
+fn status_json(state: &PacketState) -> serde_json::Value {
     let status = state.agent.lock().status(state.clock.now());
     serde_json::json!({
         "in_progress": status.load.in_progress,
--- a/bins/agent/src/relay/server.rs
+++ b/bins/agent/src/relay/server.rs
@@ -31,11 +31,11 @@
         let RelayMessage::Request(head) = message else {
             return;
         };
-        let _running = agent.drain.start_work();
+        let work = agent.drain.start_work();
         if serve_request(&agent, &mut stream, head).await.is_err() {
             return;
         }
-        drop(_running);
+        drop(work);
         match stream.receive().await {
             Ok(next) => message = next,
             Err(_) => return,
--- a/bins/agent/tests/all/metrics.rs
+++ b/bins/agent/tests/all/metrics.rs
@@ -25,11 +25,11 @@
     let part = page.split("\n## ").find(|part| part.starts_with(heading));
     let lines = part.expect("the heading").lines();
     let cells = lines.filter(|line| line.starts_with("| `"));
-    let words = cells.map(|line| {
+    let names = cells.map(|line| {
         let cell = line.split('|').nth(column).expect("a cell");
         cell.trim().trim_matches('`').to_owned()
     });
-    words.collect()
+    names.collect()
 }
 
 fn served_metrics(text: &str) -> BTreeSet<String> {
@@ -97,6 +97,6 @@
 
 #[test]
 fn the_page_lists_the_decision_kinds_of_the_log() {
-    let words = DecisionKind::ALL.map(|kind| kind.as_str().to_owned());
-    assert_eq!(rows("Log lines", 1), BTreeSet::from(words));
+    let names = DecisionKind::ALL.map(|kind| kind.as_str().to_owned());
+    assert_eq!(rows("Log lines", 1), BTreeSet::from(names));
 }
--- a/bins/agent/tests/all/peers.rs
+++ b/bins/agent/tests/all/peers.rs
@@ -146,7 +146,7 @@
         assert_eq!(caller.get("/status/1").await.outcome(), "done");
     }
     rig.gateway.cut_streams(true);
-    let holding = caller.start("GET", "/late", &[], b"").await;
+    let in_flight = caller.start("GET", "/late", &[], b"").await;
     let backend = &rig.pairs[0].backend;
     eventually("the slot is in use", || backend.started("/late") == 1).await;
     let start = std::time::Instant::now();
@@ -154,7 +154,7 @@
     assert_eq!(reply.outcome(), "done");
     assert!(start.elapsed() < Duration::from_secs(2));
     assert_eq!(rig.pairs[1].backend.started("/status/2"), 0);
-    drop(holding);
+    drop(in_flight);
 }
 
 // Guards against filings that run twice after a planned stop with many long responses on record:
--- a/bins/balancer/src/main.rs
+++ b/bins/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! `lovagelatch-balancer`: see the library of this package.
+//! `lovagelatch-balancer`: the entry point. The library of this package holds the implementation.
 
 use std::process::ExitCode;
 
--- a/bins/balancer/src/opaque/catalog.rs
+++ b/bins/balancer/src/opaque/catalog.rs
@@ -31,7 +31,8 @@
 /// Maximum length of a message by stream: a full catalog of the largest supported size.
 const MAX_STREAM_BYTES: usize = 32 * 1024 * 1024;
 
-/// Timeout of an exchange by stream. If it fails, the next ask takes another path.
+/// Timeout of an exchange by stream. If it fails, the next ask opens a new connection, which may
+/// take another network path.
 const STREAM_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Capacity of the queue of store calls; calls are made one at a time.
--- a/bins/balancer/src/opaque/coverage.rs
+++ b/bins/balancer/src/opaque/coverage.rs
@@ -37,10 +37,10 @@
                     "decision" => DecisionKind::ViewCoverage,
                     "targets" => targets, "doubtful_ms" => elapsed_ms);
             }
-            ViewCoverage::Doubtful(doubt) => {
+            ViewCoverage::Doubtful(reason) => {
                 info!(log, "view may lack targets: lost flows are not told";
                     "decision" => DecisionKind::ViewCoverage,
-                    "reason" => doubt.as_str(), "targets" => targets, "held_ms" => elapsed_ms);
+                    "reason" => reason.as_str(), "targets" => targets, "held_ms" => elapsed_ms);
             }
         }
         self.current = view.coverage;
