--- a/crates/membership/tests/all/faults.rs
+++ b/crates/membership/tests/all/faults.rs
@@ -86,7 +86,7 @@
         }
         Fault::HalfWithoutPlatform => {
             rig.platform_cuts = vec![zone("zone-0"), zone("zone-1")];
-            rig.answer_watches();
+            rig.complete_watches();
         }
         Fault::MemberPaused => rig.nodes[2].paused = true,
         Fault::MemberRestarts => {
@@ -194,8 +194,8 @@
             }
             run_checked(&mut rig, 12 * SECOND, &mut held, restarted);
             let last = rig.platform.texts.len() as u64;
-            if rig.holding(last) != rig.running() {
-                failures.push((fault, faulty_step, rig.holding(last), rig.running()));
+            if rig.members_at(last) != rig.running() {
+                failures.push((fault, faulty_step, rig.members_at(last), rig.running()));
             }
         }
     }
--- a/crates/membership/tests/all/liveness.rs
+++ b/crates/membership/tests/all/liveness.rs
@@ -149,7 +149,7 @@
 fn dead_agent_is_suspected_until_it_is_back() {
     let mut rig = settled_fleet(8, 4, 10);
     let agent = rig.platform.list.targets[5].agent;
-    let number = rig.number_of(agent).unwrap();
+    let number = rig.index_of(agent).unwrap();
     rig.nodes[number].running = false;
     let suspected = |rig: &MemberRig| all_balancers_hold(rig, &[agent], TargetStanding::Suspected);
     let known = rig.run_until(8 * SECOND, suspected);
--- a/crates/membership/tests/all/spread.rs
+++ b/crates/membership/tests/all/spread.rs
@@ -23,7 +23,7 @@
         .count();
     assert_eq!(ready, rig.running(), "ready members");
     assert_eq!(
-        rig.holding(1),
+        rig.members_at(1),
         rig.running(),
         "members that hold revision 1"
     );
@@ -72,7 +72,7 @@
         let mut slowest = Duration::ZERO;
         for change in 1..=10 {
             let revision = rig.publish(rig_text(case.services, 4, change));
-            let taken = rig.run_until(9 * SECOND, |rig| rig.holding(revision) == members);
+            let taken = rig.run_until(9 * SECOND, |rig| rig.members_at(revision) == members);
             let taken = taken.expect("in force on all");
             slowest = slowest.max(taken);
             rig.run((3 * SECOND).saturating_sub(taken));
@@ -119,7 +119,7 @@
         let mut rig = settled_fleet(40, 16, 10);
         rig.network.drop = drop;
         let target = rig.platform.list.targets[17].clone();
-        let number = rig.number_of(target.agent).unwrap();
+        let number = rig.index_of(target.agent).unwrap();
         let now = rig.now;
         rig.nodes[number].member.set_leaving(now);
         let known = rig.run_until(30 * SECOND, |rig| {
@@ -143,7 +143,7 @@
 fn successor_at_the_same_address_is_live() {
     let mut rig = settled_fleet(4, 2, 7);
     let target = rig.platform.list.targets[3].clone();
-    let number = rig.number_of(target.agent).unwrap();
+    let number = rig.index_of(target.agent).unwrap();
     let now = rig.now;
     rig.nodes[number].member.set_leaving(now);
     rig.run(3 * SECOND);
@@ -167,7 +167,7 @@
     let targets: Vec<_> = rig.platform.list.targets[..10].to_vec();
     let service = targets[0].service.id();
     for (number, target) in (5_000..).zip(&targets) {
-        let old = rig.number_of(target.agent).unwrap();
+        let old = rig.index_of(target.agent).unwrap();
         let now = rig.now;
         rig.nodes[old].member.set_leaving(now);
         let fresh = rig.add_member(rig_address(number), target.zone.clone(), Some(service));
@@ -232,7 +232,7 @@
     let mut rig = settled_fleet(4, 2, 7);
     let gone = rig.platform.list.targets.remove(3);
     rig.platform.list.revision.0 += 1;
-    let number = rig.number_of(gone.agent).unwrap();
+    let number = rig.index_of(gone.agent).unwrap();
     let report = GateReport {
         slots: 3,
         ..GateReport::default()
@@ -293,7 +293,7 @@
         rig.publish(rig_text(2, 4, 1));
         rig.publish(rig_text(2, 4, 2));
         rig.run(5 * SECOND);
-        assert_eq!(rig.holding(3), rig.running());
+        assert_eq!(rig.members_at(3), rig.running());
         rig.set_platform(case.platform);
         for node in &mut rig.nodes {
             node.running = case.peers_run;
@@ -320,7 +320,7 @@
         }
         rig.run(5 * SECOND);
         if case.peers_run {
-            assert_eq!(rig.holding(3), rig.running(), "{:?}", case.platform);
+            assert_eq!(rig.members_at(3), rig.running(), "{:?}", case.platform);
         }
     }
 }
--- a/standins/capacity/src/config_costs.rs
+++ b/standins/capacity/src/config_costs.rs
@@ -1,14 +1,15 @@
-//! What the configuration costs by its number of addresses.
+//! Measures the cost of the configuration as a function of its number of addresses.
 
 use lovagelatch_capacity::rig_text_range;
 use lovagelatch_membership::TableIndex;
 use lovagelatch_settings::{MAX_TEXT_BYTES, ServiceText};
 
-use crate::heap::held_bytes;
-use crate::report::{CapacityReport, fastest, megabytes, millis, timed};
-use crate::subject::{
-    ADDRESSES_A_SERVICE, empty_member, give_config, part_bytes, request, rows_for, whole_config,
+use crate::heap::measure_heap;
+use crate::member_setup::{
+    ADDRESSES_PER_SERVICE, apply_config, empty_member, full_config_delta, part_bytes, request,
+    service_entries,
 };
+use crate::report::{CapacityReport, fastest, format_megabytes, format_millis, timed};
 
 const SERVICES: [u32; 4] = [250, 1_000, 3_500, 7_000];
 
@@ -35,33 +36,33 @@
 }
 
 fn measure_size(services: u32) -> Vec<String> {
-    let text = rig_text_range(0..services, ADDRESSES_A_SERVICE, 0, 0);
+    let text = rig_text_range(0..services, ADDRESSES_PER_SERVICE, 0, 0);
     let parse = if text.len() > MAX_TEXT_BYTES {
-        let (_, time) = timed(|| rows_for(services, 0));
-        format!("too large; in 2 texts {}", millis(time))
+        let (_, time) = timed(|| service_entries(services, 0));
+        format!("too large; in 2 texts {}", format_millis(time))
     } else {
         let (_, time) = timed(|| ServiceText::parse(&text));
-        millis(time)
+        format_millis(time)
     };
     let mut member = empty_member();
-    let (((), whole_time), heap) = held_bytes(|| {
-        let delta = whole_config(services);
-        timed(|| give_config(&mut member, delta))
+    let (((), whole_time), heap) = measure_heap(|| {
+        let delta = full_config_delta(services);
+        timed(|| apply_config(&mut member, delta))
     });
-    let whole = part_bytes(&member.answer_pull(&request(0, 0), crate::subject::NOW));
+    let whole = part_bytes(&member.answer_pull(&request(0, 0), crate::member_setup::NOW));
     drop(member.take_actions());
 
     let mut index = TableIndex::default();
-    let mut rows = Vec::new();
-    let first = whole_config(services);
-    index.apply(&mut rows, first).expect("the first table");
-    let change = index.delta_to(&rows, rows_for(services, 1), 2);
+    let mut entries = Vec::new();
+    let first = full_config_delta(services);
+    index.apply(&mut entries, first).expect("the first table");
+    let change = index.delta_to(&entries, service_entries(services, 1), 2);
     let change_bytes = part_bytes(&[lovagelatch_membership::PullPart::Config(change.clone())]);
     let earlier = lovagelatch_routing::RoutingTable::from_view(
         member.view(),
         &lovagelatch_routing::RoutingTable::default(),
     );
-    let ((), change_time) = timed(|| give_config(&mut member, change));
+    let ((), change_time) = timed(|| apply_config(&mut member, change));
     let (published, publish_time) = timed(|| member.take_actions());
     drop(published);
     let table_time = fastest(|| {
@@ -71,16 +72,16 @@
         ));
     });
     vec![
-        (services * ADDRESSES_A_SERVICE).to_string(),
+        (services * ADDRESSES_PER_SERVICE).to_string(),
         services.to_string(),
-        megabytes(text.len()),
+        format_megabytes(text.len()),
         parse,
-        megabytes(whole),
-        millis(whole_time),
-        megabytes(heap),
+        format_megabytes(whole),
+        format_millis(whole_time),
+        format_megabytes(heap),
         format!("{change_bytes} B"),
-        millis(change_time),
-        millis(publish_time),
-        millis(table_time),
+        format_millis(change_time),
+        format_millis(publish_time),
+        format_millis(table_time),
     ]
 }
--- a/standins/capacity/src/fault_costs.rs
+++ b/standins/capacity/src/fault_costs.rs
@@ -1,4 +1,4 @@
-//! Joins, losses and cuts, with members in one process.
+//! Measures how joins, failures and partitions propagate, with members in one process.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use lovagelatch_domain::ZoneName;
 use lovagelatch_membership::TargetStanding;
 
-use crate::fleet_costs::{seconds, settled_rig};
+use crate::fleet_costs::{format_seconds, settled_rig};
 use crate::report::CapacityReport;
 
 /// 40 balancers and 44 services of 10 targets in 12 zones: 480 members.
@@ -14,13 +14,13 @@
 
 const SERVICES: u32 = 44;
 
-const LIMIT: Duration = Duration::from_secs(60);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Members of a rack.
-const RACK: usize = 8;
+/// Agents that fail together when a rack is lost.
+const RACK_MEMBERS: usize = 8;
 
-/// How long regions are cut from each other.
-const CUT: Duration = Duration::from_secs(120);
+/// How long the two halves of the zones are partitioned from each other.
+const CUT_DURATION: Duration = Duration::from_secs(120);
 
 pub(crate) fn measure(report: &mut CapacityReport) {
     report.start_table(
@@ -39,25 +39,25 @@
     }
 }
 
-type Event = fn(&mut MemberRig) -> Option<Duration>;
+type EventScenario = fn(&mut MemberRig) -> Option<Duration>;
 
-const EVENTS: [(&str, Event); 7] = [
-    ("nothing, for comparison", quiet),
-    ("one fresh member", fresh),
-    ("an agent leaves: on all balancers", leave),
+const EVENTS: [(&str, EventScenario); 7] = [
+    ("nothing, for comparison", idle),
+    ("one fresh member", join_member),
+    ("an agent leaves: on all balancers", leave_agent),
     (
         "a rack of 8 agents lost: suspected on all balancers",
-        lose_rack,
+        fail_rack,
     ),
-    ("a zone of 40 lost: suspected on all balancers", lose_zone),
+    ("a zone of 40 lost: suspected on all balancers", fail_zone),
     ("a zone of 40 starts anew at once: all ready", restart_zone),
     (
         "six zones cut off for 120 s with 40 changes: caught up",
-        cut_region,
+        partition_region,
     ),
 ];
 
-fn row(name: &str, rig: &mut MemberRig, event: Event) -> Vec<String> {
+fn row(name: &str, rig: &mut MemberRig, event: EventScenario) -> Vec<String> {
     rig.reset_counts();
     let known = event(rig);
     rig.run(Duration::from_secs(10));
@@ -67,31 +67,31 @@
     let both = &rates["both"];
     vec![
         name.to_owned(),
-        known.map_or("not in 60 s".to_owned(), seconds),
+        known.map_or("not in 60 s".to_owned(), format_seconds),
         format!("{:.0}", both[both.len() / 2]),
         format!("{:.0}", both[both.len() - 1]),
         format!("{calls:.1}"),
     ]
 }
 
-fn quiet(rig: &mut MemberRig) -> Option<Duration> {
+fn idle(rig: &mut MemberRig) -> Option<Duration> {
     rig.run(Duration::from_secs(10));
     Some(Duration::ZERO)
 }
 
-fn fresh(rig: &mut MemberRig) -> Option<Duration> {
+fn join_member(rig: &mut MemberRig) -> Option<Duration> {
     let balancer = rig.platform.list.balancers[0].clone();
     let number = rig.add_member(balancer.control, balancer.zone, None);
-    rig.run_until(LIMIT, |rig| rig.nodes[number].member.is_ready())
+    rig.run_until(EVENT_TIMEOUT, |rig| rig.nodes[number].member.is_ready())
 }
 
-fn leave(rig: &mut MemberRig) -> Option<Duration> {
+fn leave_agent(rig: &mut MemberRig) -> Option<Duration> {
     let target = rig.platform.list.targets[17].clone();
-    let number = rig.number_of(target.agent)?;
+    let number = rig.index_of(target.agent)?;
     let now = rig.now;
     rig.nodes[number].member.set_leaving(now);
-    rig.run_until(LIMIT, |rig| {
-        balancers_hold(rig, |view| {
+    rig.run_until(EVENT_TIMEOUT, |rig| {
+        all_balancers_satisfy(rig, |view| {
             let targets = view.targets(target.service.id());
             let mut targets = targets.iter().filter(|held| held.id == target.id);
             targets.all(|held| held.standing == TargetStanding::Leaving)
@@ -99,22 +99,22 @@
     })
 }
 
-fn lose_rack(rig: &mut MemberRig) -> Option<Duration> {
+fn fail_rack(rig: &mut MemberRig) -> Option<Duration> {
     let targets: Vec<_> = rig
         .platform
         .list
         .targets
         .iter()
         .step_by(12)
-        .take(RACK)
+        .take(RACK_MEMBERS)
         .cloned()
         .collect();
     for target in &targets {
-        let number = rig.number_of(target.agent)?;
+        let number = rig.index_of(target.agent)?;
         rig.nodes[number].running = false;
     }
-    rig.run_until(LIMIT, |rig| {
-        balancers_hold(rig, |view| {
+    rig.run_until(EVENT_TIMEOUT, |rig| {
+        all_balancers_satisfy(rig, |view| {
             targets.iter().all(|lost| {
                 let held = view.targets(lost.service.id()).iter();
                 held.filter(|held| held.id == lost.id)
@@ -124,7 +124,7 @@
     })
 }
 
-fn lose_zone(rig: &mut MemberRig) -> Option<Duration> {
+fn fail_zone(rig: &mut MemberRig) -> Option<Duration> {
     let zone: ZoneName = "zone-5".parse().ok()?;
     for node in &mut rig.nodes {
         node.running = node.zone != zone;
@@ -137,8 +137,8 @@
         .filter(|target| target.zone == zone)
         .cloned()
         .collect();
-    rig.run_until(LIMIT, |rig| {
-        balancers_hold(rig, |view| {
+    rig.run_until(EVENT_TIMEOUT, |rig| {
+        all_balancers_satisfy(rig, |view| {
             lost.iter().all(|lost| {
                 let held = view.targets(lost.service.id()).iter();
                 held.filter(|held| held.id == lost.id)
@@ -162,12 +162,12 @@
     for (own, service) in members {
         rig.add_member(own, zone.clone(), service);
     }
-    rig.run_until(LIMIT, |rig| {
+    rig.run_until(EVENT_TIMEOUT, |rig| {
         rig.nodes.iter().all(|node| node.member.is_ready())
     })
 }
 
-fn cut_region(rig: &mut MemberRig) -> Option<Duration> {
+fn partition_region(rig: &mut MemberRig) -> Option<Duration> {
     let zones: Vec<ZoneName> = (0..12)
         .filter_map(|n| format!("zone-{n}").parse().ok())
         .collect();
@@ -182,15 +182,17 @@
     let mut revision = 0;
     for change in 1..=40 {
         revision = rig.publish(rig_text(SERVICES, 4, change));
-        rig.run(CUT / 40);
+        rig.run(CUT_DURATION / 40);
     }
     rig.cuts.clear();
     rig.platform_cuts.clear();
     rig.reset_counts();
-    rig.run_until(LIMIT, |rig| rig.holding(revision) == rig.running())
+    rig.run_until(EVENT_TIMEOUT, |rig| {
+        rig.members_at(revision) == rig.running()
+    })
 }
 
-fn balancers_hold(
+fn all_balancers_satisfy(
     rig: &MemberRig,
     condition: impl Fn(&lovagelatch_membership::FleetView) -> bool,
 ) -> bool {
--- a/standins/capacity/src/world.rs
+++ b/standins/capacity/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Lists and texts of any size.
+//! Generates instance lists and service texts of any size.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -6,21 +6,22 @@
     AgentAddress, BalancerRecord, InstanceList, InstanceState, TargetId, TargetRecord, ZoneName,
 };
 
-/// The address of the rig's member with this number.
+/// Returns the control address of the rig's member with this number.
 #[must_use]
 pub fn rig_address(number: u32) -> AgentAddress {
     let ip = Ipv4Addr::from(0x7f00_0000 + 256 + number);
     AgentAddress(SocketAddrV4::new(ip, 7_000))
 }
 
-/// A list of `balancers` and `services` x `targets` instances over `zones` zones.
+/// Returns a list of `balancers` balancers and `services` x `targets` targets, spread over
+/// `zones` zones in turn.
 #[must_use]
 pub fn rig_list(balancers: u32, services: u32, targets: u32, zones: u32) -> InstanceList {
     let mut list = InstanceList::default();
     list.revision.0 = 1;
     let zone = |number: u32| -> ZoneName {
         let name = format!("zone-{}", number % zones);
-        name.parse().expect("a good name")
+        name.parse().expect("a valid name")
     };
     for number in 0..balancers {
         list.balancers.push(BalancerRecord {
@@ -47,16 +48,17 @@
 
 fn service_name(number: u32) -> lovagelatch_domain::ServiceName {
     let name = format!("service-{number}");
-    name.parse().expect("a good name")
+    name.parse().expect("a valid name")
 }
 
-/// A text of `services` services with `addresses` addresses each; `change` alters one of them.
+/// Returns a text of `services` services with `addresses` addresses each. `change` alters one
+/// service.
 #[must_use]
 pub fn rig_text(services: u32, addresses: u32, change: u32) -> String {
     rig_text_range(0..services, addresses, change % services, change)
 }
 
-/// A text of these services; `change` stands in the one with the number `changed`.
+/// Returns a text of these services. `change` is written into the service `changed`.
 #[must_use]
 pub fn rig_text_range(
     services: std::ops::Range<u32>,
--- a/standins/capacity/src/fleet_costs.rs
+++ b/standins/capacity/src/fleet_costs.rs
@@ -1,13 +1,13 @@
-//! How a configuration spreads, and what members send, by the number of members.
+//! Measures configuration propagation and gossip traffic as a function of the number of members.
 
 use std::time::Duration;
 
 use lovagelatch_capacity::{MemberRig, rig_address, rig_list, rig_text};
 use lovagelatch_domain::TargetId;
 
-use crate::report::{CapacityReport, micros, timed};
+use crate::report::{CapacityReport, format_micros, timed};
 
-/// Balancers, services, targets of each, zones.
+/// Balancers, services, targets per service, zones.
 const FLEETS: [(u32, u32, u32, u32); 8] = [
     (10, 4, 10, 4),
     (20, 8, 10, 4),
@@ -19,18 +19,18 @@
     (400, 280, 10, 12),
 ];
 
-/// Configuration changes, one each 3 s: 29,000 a day are one each 2.98 s.
+/// Configuration changes per fleet, one every 3 s: 29,000 per day are one every 2.98 s.
 const CHANGES: u32 = 20;
 
 const CHANGE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Replacements of an instance in each interval in turn: 5 in 9 s are 48,000 a day.
+/// Instances replaced in each interval, in turn: 5 in 9 s are 48,000 per day.
 const REPLACEMENTS: [u32; 3] = [2, 2, 1];
 
-/// Replacements after which one is dropped again: 18 s.
-const LISTED_REPLACEMENTS: u32 = 10;
+/// Replacements that stay listed: each is removed after this many more, which takes 18 s.
+const MAX_LISTED_REPLACEMENTS: u32 = 10;
 
-/// The number of the first replacement.
+/// Id of the first replacement, above all ids of the initial list.
 const FIRST_REPLACEMENT: u32 = 1_000_000;
 
 pub(crate) fn measure(report: &mut CapacityReport) {
@@ -71,7 +71,7 @@
     rig.reset_counts();
     let members = rig.running();
     let start = rig.now;
-    let mut spreads = Vec::new();
+    let mut propagations = Vec::new();
     let ((), time) = timed(|| {
         let mut replacement = FIRST_REPLACEMENT;
         for (change, count) in (1..=CHANGES).zip(REPLACEMENTS.into_iter().cycle()) {
@@ -82,22 +82,22 @@
             rig.platform.list.revision.0 += 1;
             let revision = rig.publish(rig_text(services, 4, change));
             let limit = Duration::from_secs(30);
-            let taken = rig.run_until(limit, |rig| rig.holding(revision) == members);
-            let taken = taken.unwrap_or(limit);
-            spreads.push(taken);
-            rig.run(CHANGE_INTERVAL.saturating_sub(taken));
+            let propagation = rig.run_until(limit, |rig| rig.members_at(revision) == members);
+            let propagation = propagation.unwrap_or(limit);
+            propagations.push(propagation);
+            rig.run(CHANGE_INTERVAL.saturating_sub(propagation));
         }
     });
     let elapsed = rig.now.since(start);
-    spreads.sort();
+    propagations.sort();
     let rates = rig.rates();
     let share = time.div_f64(members as f64 * elapsed.as_secs_f64());
     let mut cells = vec![
         members.to_string(),
         zones.to_string(),
         rig.readers().to_string(),
-        seconds(spreads[spreads.len() / 2]),
-        seconds(spreads[spreads.len() - 1]),
+        format_seconds(propagations[propagations.len() / 2]),
+        format_seconds(propagations[propagations.len() - 1]),
         format!("{:.1}", rig.platform.calls as f64 / elapsed.as_secs_f64()),
     ];
     for kind in ["sent", "both"] {
@@ -106,22 +106,22 @@
             cells.push(format!("{:.0}", rates[at]));
         }
     }
-    cells.push(micros(share));
+    cells.push(format_micros(share));
     cells
 }
 
-/// Lists one more target and drops the one listed some replacements ago. Neither has a member:
-/// only what the list costs is wanted.
+/// Lists one more target and removes the one listed [`MAX_LISTED_REPLACEMENTS`] replacements ago.
+/// Neither runs as a member, so only the cost of the list is measured.
 fn replace_target(rig: &mut MemberRig, number: u32) {
     let targets = &mut rig.platform.list.targets;
-    targets.retain(|target| target.id.0 + LISTED_REPLACEMENTS != number);
-    let like = usize::try_from(number).unwrap_or(0) * 7 % targets.len();
-    let mut record = targets[like].clone();
+    targets.retain(|target| target.id.0 + MAX_LISTED_REPLACEMENTS != number);
+    let template = usize::try_from(number).unwrap_or(0) * 7 % targets.len();
+    let mut record = targets[template].clone();
     record.id = TargetId(number);
     record.agent = rig_address(number);
     targets.push(record);
 }
 
-pub(crate) fn seconds(time: Duration) -> String {
+pub(crate) fn format_seconds(time: Duration) -> String {
     format!("{:.2} s", time.as_secs_f64())
 }
--- a/standins/capacity/src/list_costs.rs
+++ b/standins/capacity/src/list_costs.rs
@@ -1,4 +1,4 @@
-//! What the instance list costs by its number of targets.
+//! Measures the cost of the instance list as a function of its number of targets.
 
 use std::time::Duration;
 
@@ -10,15 +10,16 @@
 };
 use lovagelatch_routing::RoutingTable;
 
-use crate::heap::held_bytes;
-use crate::report::{CapacityReport, fastest, megabytes, millis, timed};
-use crate::subject::{
-    NOW, TARGETS_A_SERVICE, empty_member, give_config, list_for, part_bytes, request, whole_config,
+use crate::heap::measure_heap;
+use crate::member_setup::{
+    NOW, TARGETS_PER_SERVICE, apply_config, empty_member, full_config_delta, list_for, part_bytes,
+    request,
 };
+use crate::report::{CapacityReport, fastest, format_megabytes, format_millis, timed};
 
 const SERVICES: [u32; 5] = [44, 435, 1_740, 3_480, 7_000];
 
-/// Targets replaced between two lists: what changes in 4.5 s at 1.13 changes a second.
+/// Targets replaced between two lists: 4.5 s of churn at 1.13 changes per second.
 const CHANGES: usize = 5;
 
 pub(crate) fn measure(report: &mut CapacityReport) {
@@ -61,8 +62,8 @@
     }
 }
 
-/// Longer than the least time between two views, shorter than what counts as a pause.
-const PUBLISH_WAIT: Duration = Duration::from_millis(1_900);
+/// Longer than the minimum interval between two views, shorter than the pause threshold.
+const PUBLISH_DELAY: Duration = Duration::from_millis(1_900);
 
 struct ListCosts {
     bytes: Vec<String>,
@@ -74,18 +75,18 @@
     let next = next_list(&list);
     let json = serde_json::to_vec(&list).expect("a list can be encoded");
     let (_, json_time) = timed(|| serde_json::from_slice::<InstanceList>(&json));
-    let (keeper, keeper_bytes) = held_bytes(|| {
-        let mut keeper = InstanceTable::default();
-        keeper.offer_list(&list).expect("the first list");
-        keeper
+    let (instances, instances_bytes) = measure_heap(|| {
+        let mut instances = InstanceTable::default();
+        instances.offer_list(&list).expect("the first list");
+        instances
     });
-    drop(keeper);
+    drop(instances);
 
     let (((mut member, list_bytes), whole_time), both_bytes) =
-        held_bytes(|| timed(|| filled_member(&list, services)));
+        measure_heap(|| timed(|| filled_member(&list, services)));
     let whole = part_bytes(&member.answer_pull(&request(1, 0), NOW));
     let (table, table_bytes) =
-        held_bytes(|| timed(|| RoutingTable::from_view(member.view(), &RoutingTable::default())));
+        measure_heap(|| timed(|| RoutingTable::from_view(member.view(), &RoutingTable::default())));
     let (table, table_time) = table;
 
     let (mut peer, _) = filled_member(&list, services);
@@ -93,51 +94,52 @@
     let parts = peer.answer_pull(&request(1, 1), NOW);
     let delta_bytes = part_bytes(&parts);
     let ((), delta_time) = timed(|| member.accept_answer(rig_address(1), parts, NOW));
-    // Views of a large fleet are published at most so often.
-    member.advance(NOW + PUBLISH_WAIT);
-    let ((published, publish_time), view_bytes) = held_bytes(|| timed(|| member.take_actions()));
+    // The rate at which views of a large fleet are published is limited.
+    member.advance(NOW + PUBLISH_DELAY);
+    let ((published, publish_time), view_bytes) = measure_heap(|| timed(|| member.take_actions()));
     let again_time = fastest(|| drop(RoutingTable::from_view(member.view(), &table)));
     drop(published);
     let departure_time = time_departure(&mut member);
     let zone_time = time_zone_loss(&mut member);
-    let targets = services * TARGETS_A_SERVICE;
+    let targets = services * TARGETS_PER_SERVICE;
     ListCosts {
         bytes: vec![
             targets.to_string(),
             list.balancers.len().to_string(),
-            megabytes(json.len()),
-            megabytes(whole),
-            megabytes(keeper_bytes),
-            megabytes(list_bytes),
-            megabytes(both_bytes),
-            megabytes(view_bytes),
-            megabytes(table_bytes),
+            format_megabytes(json.len()),
+            format_megabytes(whole),
+            format_megabytes(instances_bytes),
+            format_megabytes(list_bytes),
+            format_megabytes(both_bytes),
+            format_megabytes(view_bytes),
+            format_megabytes(table_bytes),
             format!("{delta_bytes} B"),
         ],
         times: vec![
             targets.to_string(),
-            millis(json_time),
-            millis(whole_time),
-            millis(next_time),
-            millis(delta_time),
-            millis(publish_time),
-            millis(table_time),
-            millis(again_time),
-            millis(departure_time),
-            millis(zone_time),
+            format_millis(json_time),
+            format_millis(whole_time),
+            format_millis(next_time),
+            format_millis(delta_time),
+            format_millis(publish_time),
+            format_millis(table_time),
+            format_millis(again_time),
+            format_millis(departure_time),
+            format_millis(zone_time),
         ],
     }
 }
 
-/// A member with list and configuration, and the heap it held before the configuration.
+/// Returns a member with list and configuration, and the heap bytes it held before the
+/// configuration was applied.
 fn filled_member(list: &InstanceList, services: u32) -> (FleetMember, usize) {
-    let (mut member, list_bytes) = held_bytes(|| {
+    let (mut member, list_bytes) = measure_heap(|| {
         let mut member = empty_member();
         member.accept_instances(list, NOW);
         drop(member.take_actions());
         member
     });
-    give_config(&mut member, whole_config(services));
+    apply_config(&mut member, full_config_delta(services));
     drop(member.take_actions());
     member.advance(NOW);
     drop(member.take_actions());
@@ -158,7 +160,7 @@
     next
 }
 
-fn head_with(event: MemberEvent) -> MemberMessage {
+fn head_message(event: MemberEvent) -> MemberMessage {
     let mut head = GossipHead {
         sender: rig_address(2),
         config: TableHead::default(),
@@ -178,14 +180,14 @@
         refuted: false,
     });
     timed(|| {
-        member.accept_message(head_with(event), NOW);
+        member.accept_message(head_message(event), NOW);
         drop(member.take_actions());
     })
     .1
 }
 
 fn time_zone_loss(member: &mut FleetMember) -> Duration {
-    let zone = ZoneId::new(&"zone-1".parse().expect("a good name"));
+    let zone = ZoneId::new(&"zone-1".parse().expect("a valid name"));
     let accuser = |number: u32| -> AgentAddress { rig_address(number) };
     timed(|| {
         for number in 0..3 {
@@ -196,7 +198,7 @@
                 serial: 1,
                 holds: true,
             });
-            member.accept_message(head_with(event), NOW);
+            member.accept_message(head_message(event), NOW);
         }
         drop(member.take_actions());
     })
--- a/standins/capacity/src/main.rs
+++ b/standins/capacity/src/main.rs
@@ -5,9 +5,9 @@
 mod fleet_costs;
 mod heap;
 mod list_costs;
+mod member_setup;
 mod message_costs;
 mod report;
-mod subject;
 
 use std::path::PathBuf;
 
@@ -17,7 +17,7 @@
 #[global_allocator]
 static HEAP: heap::CountingHeap = heap::CountingHeap;
 
-/// One part of the measurement.
+/// Measures one part and adds its tables to the report.
 type Measurement = fn(&mut CapacityReport);
 
 /// Measures how the costs of the control plane grow with the fleet
--- a/standins/capacity/src/message_costs.rs
+++ b/standins/capacity/src/message_costs.rs
@@ -1,4 +1,4 @@
-//! What one message costs in a member at full size.
+//! Measures the cost of one message in a member at full fleet size.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -13,15 +13,17 @@
 use lovagelatch_wire::{FrameKind, open_message, seal_message};
 use smallvec::SmallVec;
 
-use crate::report::{CapacityReport, micros, time_each};
-use crate::subject::{NOW, empty_member, encoded, give_config, list_for, request, whole_config};
+use crate::member_setup::{
+    NOW, apply_config, empty_member, frame_bytes, full_config_delta, list_for, request,
+};
+use crate::report::{CapacityReport, format_micros, mean_time};
 
 const SERVICES: u32 = 7_000;
 
 pub(crate) fn measure(report: &mut CapacityReport) {
     let mut member = empty_member();
     member.accept_instances(&list_for(SERVICES), NOW);
-    give_config(&mut member, whole_config(SERVICES));
+    apply_config(&mut member, full_config_delta(SERVICES));
     drop(member.take_actions());
     let keys =
         FleetKeys::new(&[KeySecret::from_bytes(KeyGeneration(1), [7; 32])]).expect("one secret");
@@ -29,7 +31,7 @@
         "One message, in a balancer at full size",
         &["message", "frame", "sealed", "opened", "taken or answered"],
     );
-    let head = held_head(&mut member);
+    let head = current_head(&mut member);
     message_row(
         report,
         "head",
@@ -53,19 +55,19 @@
     pull_row(report, &mut member, &keys);
     report.start_table("Other work", &["work", "processor time"]);
     let mut now = NOW;
-    let tick = time_each(2_000, || {
+    let tick = mean_time(2_000, || {
         now = now + Duration::from_millis(100);
         member.advance(now);
         drop(member.take_actions());
     });
-    report.add_row(vec!["one tick (10 a second)".into(), micros(tick)]);
+    report.add_row(vec!["one tick (10 a second)".into(), format_micros(tick)]);
     report.add_row(vec![
         "send and receive one datagram of 100 B on loopback".into(),
-        micros(datagram_time()),
+        format_micros(datagram_time()),
     ]);
 }
 
-fn held_head(member: &mut FleetMember) -> GossipHead {
+fn current_head(member: &mut FleetMember) -> GossipHead {
     let parts = member.answer_pull(&request(1, 1), NOW);
     let head = parts.into_iter().find_map(|part| match part {
         PullPart::Head(head) => Some(head),
@@ -114,45 +116,45 @@
 ) {
     const RUNS: u32 = 20_000;
     let frame = seal_message(FrameKind::Membership, message, keys);
-    let seal = time_each(RUNS, || {
+    let seal = mean_time(RUNS, || {
         std::hint::black_box(seal_message(FrameKind::Membership, message, keys));
     });
-    let open = time_each(RUNS, || {
+    let open = mean_time(RUNS, || {
         let opened = open_message::<MemberMessage>(FrameKind::Membership, &frame, keys);
         std::hint::black_box(opened.is_ok());
     });
-    let take = time_each(RUNS, || member.accept_message(message.clone(), NOW));
+    let take = mean_time(RUNS, || member.accept_message(message.clone(), NOW));
     drop(member.take_actions());
     report.add_row(vec![
         name.to_owned(),
         format!("{} B", frame.len()),
-        micros(seal),
-        micros(open),
-        micros(take),
+        format_micros(seal),
+        format_micros(open),
+        format_micros(take),
     ]);
 }
 
 fn pull_row(report: &mut CapacityReport, member: &mut FleetMember, keys: &FleetKeys) {
     let request = request(1, 1);
     let frame = seal_message(FrameKind::Membership, &request, keys);
-    let seal = time_each(10_000, || {
+    let seal = mean_time(10_000, || {
         std::hint::black_box(seal_message(FrameKind::Membership, &request, keys));
     });
-    let answer = time_each(200, || {
+    let answer = mean_time(200, || {
         std::hint::black_box(member.answer_pull(&request, NOW));
     });
     report.add_row(vec![
         "pull, nothing newer".into(),
         format!("{} B", frame.len()),
-        micros(seal),
+        format_micros(seal),
         "as a head".into(),
-        micros(answer),
+        format_micros(answer),
     ]);
     let mut behind = request;
     behind.list = 0;
     let parts = member.answer_pull(&behind, NOW);
-    let bytes: usize = parts.iter().map(encoded).sum();
-    let answer = time_each(3, || {
+    let bytes: usize = parts.iter().map(frame_bytes).sum();
+    let answer = mean_time(3, || {
         std::hint::black_box(member.answer_pull(&behind, NOW));
     });
     report.add_row(vec![
@@ -160,11 +162,11 @@
         format!("{bytes} B answered"),
         "-".into(),
         "-".into(),
-        micros(answer),
+        format_micros(answer),
     ]);
 }
 
-/// Processor time of one datagram through the operating system, both ends together.
+/// Measures the CPU time of sending and receiving one datagram through the kernel.
 fn datagram_time() -> Duration {
     let sockets = UdpSocket::bind("127.0.0.1:0").and_then(|receiver| {
         let sender = UdpSocket::bind("127.0.0.1:0")?;
@@ -175,7 +177,7 @@
         return Duration::ZERO;
     };
     let mut buffer = [0; 256];
-    time_each(20_000, || {
+    mean_time(20_000, || {
         if sender.send(&buffer[..100]).is_ok() {
             let _received = receiver.recv(&mut buffer);
         }
--- a/standins/capacity/src/network.rs
+++ b/standins/capacity/src/network.rs
@@ -1,29 +1,29 @@
-//! The rig's platform, network and queue.
+//! The simulated platform, network and delivery queue of the rig.
 
 use lovagelatch_domain::{AgentAddress, ConfigRevision, InstanceList, Moment};
 use lovagelatch_membership::{MemberMessage, PlatformCall, PullPart, PullRequest};
 
-/// What the platform does.
+/// How the simulated platform responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformState {
-    /// It answers.
+    /// Responds with the newest revision.
     Up,
-    /// It answers nothing.
+    /// Fails every call.
     Down,
-    /// It answers with this older revision of the configuration.
+    /// Responds with this older revision of the configuration.
     Stale(usize),
 }
 
-/// The fake platform.
+/// The simulated platform.
 #[derive(Debug)]
 pub struct RigPlatform {
-    /// Texts by revision; the first is revision 1.
+    /// Published texts in order of revision; the first is revision 1.
     pub texts: Vec<String>,
-    /// The instance list.
+    /// The instance list that the next read returns.
     pub list: InstanceList,
-    /// What it does.
+    /// How it responds to calls.
     pub state: PlatformState,
-    /// Calls answered or begun, a waiting watch as one.
+    /// Calls received since the counters were reset; a waiting watch counts once.
     pub calls: u64,
     pub(crate) watches: Vec<(usize, ConfigRevision, Moment)>,
 }
@@ -40,30 +40,30 @@
     }
 }
 
-/// What the network does to datagrams.
+/// The faults that the network injects into datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RigNetwork {
     /// Share of datagrams lost.
     pub drop: f64,
     /// Share of datagrams delivered twice.
     pub duplicate: f64,
-    /// Share of datagrams that arrive up to a second late.
+    /// Share of datagrams that are delayed by up to a second.
     pub late: f64,
 }
 
-/// Bytes that one member sent and received.
+/// Traffic counters of one member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RigTraffic {
-    /// Bytes sent, with headers.
+    /// Bytes sent, including headers.
     pub sent: u64,
-    /// Bytes received, with headers.
+    /// Bytes received, including headers.
     pub received: u64,
     /// Messages sent.
     pub messages: u64,
 }
 
 #[derive(Debug)]
-pub(crate) enum Delivery {
+pub(crate) enum RigDelivery {
     Message(Box<MemberMessage>),
     Request(PullRequest),
     Answer(AgentAddress, Vec<PullPart>),
@@ -75,28 +75,28 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingDelivery {
     pub(crate) at: Moment,
     pub(crate) order: u64,
     pub(crate) to: usize,
-    pub(crate) delivery: Delivery,
+    pub(crate) delivery: RigDelivery,
 }
 
-impl PartialEq for Pending {
+impl PartialEq for PendingDelivery {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Pending {}
+impl Eq for PendingDelivery {}
 
-impl PartialOrd for Pending {
+impl PartialOrd for PendingDelivery {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Pending {
+impl Ord for PendingDelivery {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
--- a/standins/capacity/src/report.rs
+++ b/standins/capacity/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of measurements, printed as Markdown while they are made.
+//! Tables of measurements, printed as Markdown row by row.
 
 use std::io;
 use std::path::Path;
@@ -13,12 +13,12 @@
     /// The file could not be written.
     #[error("report: {0}")]
     File(#[from] io::Error),
-    /// The report could not be encoded.
+    /// The report could not be frame_bytes.
     #[error("report: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// One table.
+/// A table of formatted cells.
 #[derive(Debug, Serialize)]
 pub(crate) struct ReportTable {
     title: String,
@@ -33,7 +33,7 @@
 }
 
 impl CapacityReport {
-    /// Starts a table and prints its heading.
+    /// Starts a table and prints its title and column headings.
     pub(crate) fn start_table(&mut self, title: &str, columns: &[&str]) {
         println!("\n### {title}\n");
         println!("| {} |", columns.join(" | "));
@@ -45,7 +45,7 @@
         });
     }
 
-    /// Adds a row to the last table and prints it.
+    /// Adds a row to the current table and prints it.
     pub(crate) fn add_row(&mut self, cells: Vec<String>) {
         println!("| {} |", cells.join(" | "));
         if let Some(table) = self.tables.last_mut() {
@@ -59,13 +59,13 @@
     }
 }
 
-/// Processor time of this thread: other processes on the machine do not count.
+/// Returns the CPU time of this thread, which excludes other processes on the machine.
 pub(crate) fn thread_time() -> Duration {
     let mut time = libc::timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the pointer leads to a timespec of this frame.
+    // SAFETY: the pointer refers to a timespec on this stack frame.
     let status = unsafe { libc::clock_gettime(libc::CLOCK_THREAD_CPUTIME_ID, &raw mut time) };
     if status != 0 {
         return Duration::ZERO;
@@ -76,21 +76,21 @@
     )
 }
 
-/// Runs `work` and returns its result with the processor time it took.
+/// Runs `work` and returns its result and the CPU time it took.
 pub(crate) fn timed<T>(work: impl FnOnce() -> T) -> (T, Duration) {
     let start = thread_time();
     let result = work();
     (result, thread_time().saturating_sub(start))
 }
 
-/// The least processor time of five runs: what disturbs a run on a busy machine only adds.
+/// Returns the least CPU time of five runs: interference on a busy machine only adds time.
 pub(crate) fn fastest(mut work: impl FnMut()) -> Duration {
     let runs = (0..5).map(|_| timed(&mut work).1);
     runs.min().unwrap_or_default()
 }
 
-/// Processor time of one of `count` runs.
-pub(crate) fn time_each(count: u32, mut work: impl FnMut()) -> Duration {
+/// Returns the mean CPU time of `count` runs.
+pub(crate) fn mean_time(count: u32, mut work: impl FnMut()) -> Duration {
     let ((), time) = timed(|| {
         for _ in 0..count {
             work();
@@ -99,14 +99,14 @@
     time / count
 }
 
-pub(crate) fn millis(time: Duration) -> String {
+pub(crate) fn format_millis(time: Duration) -> String {
     format!("{:.2} ms", time.as_secs_f64() * 1e3)
 }
 
-pub(crate) fn micros(time: Duration) -> String {
+pub(crate) fn format_micros(time: Duration) -> String {
     format!("{:.2} us", time.as_secs_f64() * 1e6)
 }
 
-pub(crate) fn megabytes(bytes: usize) -> String {
+pub(crate) fn format_megabytes(bytes: usize) -> String {
     format!("{:.2} MB", bytes as f64 / 1e6)
 }
--- a/standins/capacity/src/rig.rs
+++ b/standins/capacity/src/rig.rs
@@ -1,7 +1,7 @@
-//! Members of a fleet in one process, over the real message types.
+//! Runs the members of a fleet in one process, over the real message types.
 //!
-//! A queue delivers each member's messages to the others after a delay; a fake platform answers
-//! and counts its calls. It knows nothing of what the members decide.
+//! A queue delivers each member's messages to the others after a delay. A simulated platform
+//! responds to calls and counts them. The rig contains none of the logic of the members.
 
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
@@ -15,66 +15,68 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::network::{Delivery, Pending, PlatformState, RigNetwork, RigPlatform, RigTraffic};
+use crate::network::{
+    PendingDelivery, PlatformState, RigDelivery, RigNetwork, RigPlatform, RigTraffic,
+};
 
-/// Bytes of opening and closing a stream, in both directions together.
+/// Bytes that opening and closing a stream costs, in both directions together.
 const STREAM_OVERHEAD_BYTES: usize = 8 * 40;
 
-/// Bytes of TCP/IP headers for each segment of this many bytes.
+/// Payload bytes of a TCP segment, each of which has 40 bytes of TCP/IP headers.
 const SEGMENT_BYTES: usize = 1_400;
 
-/// The rig's resolution of time.
+/// Resolution of simulated time.
 const RIG_STEP: Duration = Duration::from_millis(10);
 
-/// Steps between two ticks of a member.
-const STEPS_A_TICK: usize = 10;
+/// Steps per tick of a member, so that each member ticks every 100 ms.
+const STEPS_PER_TICK: usize = 10;
 
-/// How long a watch waits.
-const WATCH_WAIT: Duration = Duration::from_secs(30);
+/// How long the platform holds a watch open without a newer revision.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One member and what it is cut off from.
+/// One member of the simulated fleet.
 #[derive(Debug)]
 pub struct RigNode {
-    /// The member.
+    /// The member under test, driven through its public interface.
     pub member: FleetMember,
-    /// Its zone's name.
+    /// The member's zone, which decides the partitions that apply to it.
     pub zone: ZoneName,
-    /// Whether it runs; a stopped one neither ticks nor takes messages.
+    /// Whether the member runs; a stopped member neither ticks nor receives messages.
     pub running: bool,
-    /// Messages that wait while it is paused, as socket buffers do.
+    /// Whether the member is paused; its messages stay queued, as in socket buffers.
     pub paused: bool,
-    /// What it sent and received.
+    /// Traffic since the counters were reset.
     pub traffic: RigTraffic,
-    /// Its notices with their times.
+    /// Notices that the member emitted, with the time of each.
     pub notices: Vec<(Moment, MemberNotice)>,
 }
 
-/// A fleet in one process.
+/// A simulated fleet in one process.
 #[derive(Debug)]
 pub struct MemberRig {
-    /// The members, in the order of the list.
+    /// The members in the order of the list: balancers, then targets, then added ones.
     pub nodes: Vec<RigNode>,
-    /// The platform.
+    /// The simulated platform that the members call.
     pub platform: RigPlatform,
-    /// The network.
+    /// Faults of the network between the members.
     pub network: RigNetwork,
     /// Zones that cannot reach the platform.
     pub platform_cuts: Vec<ZoneName>,
-    /// Pairs of zones that cannot reach each other, one way each.
+    /// Partitions: pairs of zones of which the first cannot reach the second.
     pub cuts: Vec<(ZoneName, ZoneName)>,
-    /// The time.
+    /// The simulated time.
     pub now: Moment,
-    /// Since when traffic and calls are counted.
+    /// When the counters of traffic and calls were last reset.
     pub counted_since: Moment,
     by_address: HashMap<AgentAddress, usize>,
-    queue: BinaryHeap<Pending>,
+    queue: BinaryHeap<PendingDelivery>,
     order: u64,
     steps: usize,
     rng: SmallRng,
 }
 
 impl MemberRig {
-    /// A fleet of everything in `list`, none of which knows anything yet.
+    /// Creates a fleet of every instance in `list`. No member has a list or configuration yet.
     #[must_use]
     pub fn new(list: InstanceList, text: String, seed: u64) -> Self {
         let mut rig = Self {
@@ -106,7 +108,7 @@
         rig
     }
 
-    /// Starts one more member, or a successor at an address; its number.
+    /// Starts a new member, or a successor of the one at `address`, and returns its index.
     pub fn add_member(
         &mut self,
         address: AgentAddress,
@@ -136,21 +138,21 @@
         self.nodes.len() - 1
     }
 
-    /// The number of the member at an address.
+    /// Returns the index of the member at an address.
     #[must_use]
-    pub fn number_of(&self, address: AgentAddress) -> Option<usize> {
+    pub fn index_of(&self, address: AgentAddress) -> Option<usize> {
         self.by_address.get(&address).copied()
     }
 
-    /// Publishes another text; its revision.
+    /// Publishes a new text and returns its revision.
     pub fn publish(&mut self, text: String) -> u64 {
         self.platform.texts.push(text);
-        self.answer_watches();
+        self.complete_watches();
         self.platform.texts.len() as u64
     }
 
-    /// Ends the watches that what is published now satisfies.
-    pub fn answer_watches(&mut self) {
+    /// Completes the watches that the published revision satisfies.
+    pub fn complete_watches(&mut self) {
         let Some((revision, text)) = self.platform.published() else {
             return;
         };
@@ -158,43 +160,44 @@
         for (node, after, until) in watches {
             if self.platform_cuts.contains(&self.nodes[node].zone) {
                 let call = PlatformCall::WatchConfig(after);
-                self.deliver(node, Delivery::PlatformFailed(call), 2);
+                self.deliver(node, RigDelivery::PlatformFailed(call), 2);
             } else if revision > after {
-                self.deliver(node, Delivery::Config(revision, text.clone()), 2);
+                self.deliver(node, RigDelivery::Config(revision, text.clone()), 2);
             } else {
                 self.platform.watches.push((node, after, until));
             }
         }
     }
 
-    /// Sets what the platform does; a platform that goes down breaks its watches off.
+    /// Sets how the platform responds. A platform that goes down fails its open watches.
     pub fn set_platform(&mut self, state: PlatformState) {
         self.platform.state = state;
         if state == PlatformState::Down {
             for (node, after, _) in std::mem::take(&mut self.platform.watches) {
                 let call = PlatformCall::WatchConfig(after);
-                self.deliver(node, Delivery::PlatformFailed(call), 2);
+                self.deliver(node, RigDelivery::PlatformFailed(call), 2);
             }
         }
-        self.answer_watches();
+        self.complete_watches();
     }
 
-    /// Lets time pass.
+    /// Advances simulated time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + RIG_STEP;
             self.deliver_due();
-            self.end_watches();
+            self.expire_watches();
             // Members tick at different times, as processes do.
-            self.steps = (self.steps + 1) % STEPS_A_TICK;
-            for number in (self.steps..self.nodes.len()).step_by(STEPS_A_TICK) {
+            self.steps = (self.steps + 1) % STEPS_PER_TICK;
+            for number in (self.steps..self.nodes.len()).step_by(STEPS_PER_TICK) {
                 self.tick(number);
             }
         }
     }
 
-    /// Lets time pass until `condition` holds; the time taken, or `None` after `limit`.
+    /// Advances simulated time until `condition` holds. Returns the time taken, or `None` after
+    /// `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -210,7 +213,7 @@
         condition(self).then(|| self.now.since(start))
     }
 
-    /// Forgets all traffic counted so far.
+    /// Resets the counters of traffic and platform calls.
     pub fn reset_counts(&mut self) {
         self.platform.calls = 0;
         self.counted_since = self.now;
@@ -219,21 +222,21 @@
         }
     }
 
-    /// Members that run and have this revision in force.
+    /// Returns the number of running members that have this revision in force.
     #[must_use]
-    pub fn holding(&self, revision: u64) -> usize {
+    pub fn members_at(&self, revision: u64) -> usize {
         let running = self.nodes.iter().filter(|node| node.running);
-        let holding = running.filter(|node| node.member.view().revision().0 == revision);
-        holding.count()
+        let at_revision = running.filter(|node| node.member.view().revision().0 == revision);
+        at_revision.count()
     }
 
-    /// Members that run.
+    /// Returns the number of running members.
     #[must_use]
     pub fn running(&self) -> usize {
         self.nodes.iter().filter(|node| node.running).count()
     }
 
-    /// Members that read the platform in this epoch.
+    /// Returns the number of members that read the platform in the current epoch.
     #[must_use]
     pub fn readers(&self) -> usize {
         let status = |node: &&RigNode| node.member.status(self.now).reader;
@@ -246,10 +249,10 @@
             return;
         }
         node.member.advance(self.now);
-        self.carry_out(number);
+        self.execute(number);
     }
 
-    fn carry_out(&mut self, number: usize) {
+    fn execute(&mut self, number: usize) {
         let actions = self.nodes[number].member.take_actions();
         for action in actions {
             match action {
@@ -271,10 +274,10 @@
     }
 
     fn send(&mut self, from: usize, to: AgentAddress, message: MemberMessage) {
-        let bytes = encoded(&message) + PACKET_OVERHEAD_BYTES;
+        let bytes = frame_bytes(&message) + PACKET_OVERHEAD_BYTES;
         self.nodes[from].traffic.sent += bytes as u64;
         self.nodes[from].traffic.messages += 1;
-        let Some(to) = self.number_of(to) else {
+        let Some(to) = self.index_of(to) else {
             return;
         };
         if self.is_cut(from, to) || self.rng.random_bool(self.network.drop) {
@@ -282,7 +285,7 @@
         }
         self.nodes[to].traffic.received += bytes as u64;
         if self.rng.random_bool(self.network.duplicate) {
-            let copy = Delivery::Message(Box::new(message.clone()));
+            let copy = RigDelivery::Message(Box::new(message.clone()));
             self.deliver(to, copy, 40);
         }
         let late = self.rng.random_bool(self.network.late);
@@ -291,65 +294,65 @@
         } else {
             2
         };
-        self.deliver(to, Delivery::Message(Box::new(message)), delay);
+        self.deliver(to, RigDelivery::Message(Box::new(message)), delay);
     }
 
     fn pull(&mut self, from: usize, to: AgentAddress, request: PullRequest) {
-        let number = self.number_of(to);
+        let number = self.index_of(to);
         let target = number.filter(|&number| {
             let node = &self.nodes[number];
             node.running && !node.paused && !self.is_cut(from, number) && !self.is_cut(number, from)
         });
         match target {
             Some(target) => {
-                let bytes = (encoded(&request) + STREAM_OVERHEAD_BYTES / 2) as u64;
+                let bytes = (frame_bytes(&request) + STREAM_OVERHEAD_BYTES / 2) as u64;
                 self.nodes[from].traffic.sent += bytes;
                 self.nodes[from].traffic.messages += 1;
                 self.nodes[target].traffic.received += bytes;
-                self.deliver(target, Delivery::Request(request), 3);
+                self.deliver(target, RigDelivery::Request(request), 3);
             }
-            None => self.deliver(from, Delivery::Failed(to), 500),
+            None => self.deliver(from, RigDelivery::Failed(to), 500),
         }
     }
 
     fn call(&mut self, number: usize, call: PlatformCall) {
         let zone = &self.nodes[number].zone;
         if self.platform_cuts.contains(zone) {
-            self.deliver(number, Delivery::PlatformFailed(call), 500);
+            self.deliver(number, RigDelivery::PlatformFailed(call), 500);
             return;
         }
         self.platform.calls += 1;
         let Some((revision, text)) = self.platform.published() else {
-            self.deliver(number, Delivery::PlatformFailed(call), 5);
+            self.deliver(number, RigDelivery::PlatformFailed(call), 5);
             return;
         };
         match call {
             PlatformCall::ReadInstances => {
                 let list = Box::new(self.platform.list.clone());
-                self.deliver(number, Delivery::List(list), 5);
+                self.deliver(number, RigDelivery::List(list), 5);
             }
             PlatformCall::WatchConfig(after) if revision <= after => {
-                let watch = (number, after, self.now + WATCH_WAIT);
+                let watch = (number, after, self.now + WATCH_TIMEOUT);
                 self.platform.watches.push(watch);
             }
-            _ => self.deliver(number, Delivery::Config(revision, text), 5),
+            _ => self.deliver(number, RigDelivery::Config(revision, text), 5),
         }
     }
 
-    fn end_watches(&mut self) {
+    fn expire_watches(&mut self) {
         let watches = std::mem::take(&mut self.platform.watches);
         for (node, after, until) in watches {
             if until <= self.now {
-                self.deliver(node, Delivery::Unchanged, 2);
+                self.deliver(node, RigDelivery::Unchanged, 2);
             } else {
                 self.platform.watches.push((node, after, until));
             }
         }
     }
 
-    fn deliver(&mut self, to: usize, delivery: Delivery, delay_ms: u64) {
+    fn deliver(&mut self, to: usize, delivery: RigDelivery, delay_ms: u64) {
         self.order += 1;
-        self.queue.push(Pending {
+        self.queue.push(PendingDelivery {
             at: self.now + Duration::from_millis(delay_ms),
             order: self.order,
             to,
@@ -368,46 +371,46 @@
                 continue;
             }
             if self.nodes[pending.to].running {
-                self.hand_over(pending);
+                self.dispatch(pending);
             }
         }
         self.queue.extend(waiting);
     }
 
-    fn hand_over(&mut self, pending: Pending) {
+    fn dispatch(&mut self, pending: PendingDelivery) {
         let now = self.now;
         let number = pending.to;
         let member = &mut self.nodes[number].member;
         match pending.delivery {
-            Delivery::Message(message) => member.accept_message(*message, now),
-            Delivery::Request(request) => {
+            RigDelivery::Message(message) => member.accept_message(*message, now),
+            RigDelivery::Request(request) => {
                 let parts = member.answer_pull(&request, now);
                 self.answer(number, request.sender, parts);
             }
-            Delivery::Answer(from, parts) => member.accept_answer(from, parts, now),
-            Delivery::Failed(from) => member.pull_failed(from, now),
-            Delivery::Config(revision, text) => member.accept_config(revision, &text, now),
-            Delivery::Unchanged => member.config_unchanged(now),
-            Delivery::List(list) => member.accept_instances(&list, now),
-            Delivery::PlatformFailed(call) => member.platform_failed(call, now),
+            RigDelivery::Answer(from, parts) => member.accept_answer(from, parts, now),
+            RigDelivery::Failed(from) => member.pull_failed(from, now),
+            RigDelivery::Config(revision, text) => member.accept_config(revision, &text, now),
+            RigDelivery::Unchanged => member.config_unchanged(now),
+            RigDelivery::List(list) => member.accept_instances(&list, now),
+            RigDelivery::PlatformFailed(call) => member.platform_failed(call, now),
         }
-        self.carry_out(number);
+        self.execute(number);
     }
 
     fn answer(&mut self, from: usize, to: AgentAddress, parts: Vec<PullPart>) {
-        let payload: usize = parts.iter().map(|part| encoded(part) + 4).sum();
+        let payload: usize = parts.iter().map(|part| frame_bytes(part) + 4).sum();
         let bytes = payload + payload / SEGMENT_BYTES * 40 + STREAM_OVERHEAD_BYTES / 2;
         self.nodes[from].traffic.sent += bytes as u64;
         self.nodes[from].traffic.messages += 1;
-        let Some(to) = self.number_of(to) else {
+        let Some(to) = self.index_of(to) else {
             return;
         };
         self.nodes[to].traffic.received += bytes as u64;
         let address = self.nodes[from].member.settings().control;
-        self.deliver(to, Delivery::Answer(address, parts), 3);
+        self.deliver(to, RigDelivery::Answer(address, parts), 3);
     }
 
-    /// The bytes each running member sent and received a second, sorted.
+    /// Returns the bytes per second that each running member sent, received and both, sorted.
     #[must_use]
     pub fn rates(&self) -> BTreeMap<&'static str, Vec<f64>> {
         let time = self.now.since(self.counted_since);
@@ -426,6 +429,6 @@
     }
 }
 
-fn encoded<M: serde::Serialize>(message: &M) -> usize {
+fn frame_bytes<M: serde::Serialize>(message: &M) -> usize {
     postcard::to_stdvec(message).map_or(0, |bytes| bytes.len()) + FRAME_OVERHEAD_BYTES
 }
--- a/tests/matrix/src/configuration.rs
+++ b/tests/matrix/src/configuration.rs
@@ -228,12 +228,12 @@
                     }
                 }
                 rig.platform_cuts.push(zone(CUT_ZONE));
-                rig.answer_watches();
+                rig.complete_watches();
             }
             ConfigFault::HalfCutFromPlatform => {
                 rig.platform_cuts.push(zone(OTHER_ZONES[0]));
                 rig.platform_cuts.push(zone(OTHER_ZONES[1]));
-                rig.answer_watches();
+                rig.complete_watches();
             }
             ConfigFault::MemberSleeps => rig.nodes[SLEEPER].paused = true,
             ConfigFault::MemberFresh => {
--- a/tests/matrix/src/leaving.rs
+++ b/tests/matrix/src/leaving.rs
@@ -199,7 +199,7 @@
             let settings = PlacementSettings::new(target.agent, target.zone.clone());
             LeavingAgent {
                 address: target.agent,
-                node: rig.number_of(target.agent).unwrap_or(0),
+                node: rig.index_of(target.agent).unwrap_or(0),
                 gate: RequestGate::new(GateSettings::new(SLOTS)),
                 placement: PeerPlacement::new(settings.with_seed(seed)),
                 leaving: false,
