--- a/standins/experiments/src/chain.rs
+++ b/standins/experiments/src/chain.rs
@@ -1,6 +1,6 @@
-//! Retries along a chain of dependencies whose last service refuses everything.
+//! Simulates retries along a chain of dependencies whose last service refuses every request.
 //!
-//! Each link may try again where the one below it failed. What is counted is how many attempts
+//! Each link may retry when the link below it fails. The result is the number of attempts that
 //! reach the last service per request of a caller.
 
 use std::time::Duration;
@@ -11,26 +11,26 @@
 use rand::rngs::StdRng;
 use serde::Serialize;
 
-use crate::law::draw_gap;
-use crate::tally::round;
+use crate::distribution::draw_interarrival;
+use crate::metrics::round;
 
 const REQUESTS: u32 = 50_000;
 
-/// Callers' requests a second.
+/// Requests per second of the callers.
 const RATE: f64 = 150.0;
 
-/// Retries of a link without a budget.
+/// Retries per request at a link without a budget.
 const FIXED_RETRIES: u32 = 2;
 
-/// How a link decides whether to try again.
+/// How a link decides whether to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum RetryRule {
-    /// Up to three attempts for each request.
+    /// Up to three attempts per request.
     Fixed,
-    /// A budget at each link.
+    /// A retry budget at each link.
     Budget,
-    /// A budget at each link and the allowance that travels with the request.
+    /// A retry budget at each link, and the allowance that travels with the request.
     BudgetAndAllowance,
 }
 
@@ -38,25 +38,25 @@
     pub(crate) const ALL: [Self; 3] = [Self::Fixed, Self::Budget, Self::BudgetAndAllowance];
 }
 
-/// Attempts per request of a chain.
+/// Attempts that one chain causes at its last service.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ChainResult {
     pub(crate) rule: RetryRule,
     pub(crate) depth: usize,
     /// Attempts that reach the last service, per request of a caller.
     pub(crate) attempts_at_last: f64,
-    /// The most attempts that any one request caused at the last service.
+    /// Maximum number of attempts that one request caused at the last service.
     pub(crate) most_attempts: u32,
 }
 
-struct Chain {
+struct RetryChain {
     rule: RetryRule,
     budgets: Vec<RetryBudget>,
 }
 
-impl Chain {
-    /// Runs one request at `link`; returns the attempts that reach the last service, and the
-    /// allowance that travels back with the failure.
+impl RetryChain {
+    /// Runs one request at `link`. Returns the number of attempts that reach the last service, and
+    /// the allowance that the failure returns.
     fn run(
         &mut self,
         link: usize,
@@ -100,18 +100,18 @@
 /// Runs a chain of `depth` links.
 pub(crate) fn run_chain(rule: RetryRule, depth: usize, seed: u64) -> ChainResult {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut chain = Chain {
+    let mut chain = RetryChain {
         rule,
         budgets: vec![RetryBudget::new(BudgetSettings::new()); depth],
     };
     let mut now = Moment::ZERO;
     let mut total = 0_u64;
-    let mut most = 0;
+    let mut max = 0;
     for _ in 0..REQUESTS {
-        now = now + Duration::from_secs_f64(draw_gap(RATE, &mut random));
+        now = now + Duration::from_secs_f64(draw_interarrival(RATE, &mut random));
         let (reached, _) = chain.run(0, AttemptAllowance::new(), now);
         total += u64::from(reached);
-        most = most.max(reached);
+        max = max.max(reached);
     }
     #[allow(clippy::cast_precision_loss)]
     let attempts = total as f64 / f64::from(REQUESTS);
@@ -119,6 +119,6 @@
         rule,
         depth,
         attempts_at_last: round(attempts),
-        most_attempts: most,
+        most_attempts: max,
     }
 }
--- a/standins/experiments/src/cold_start.rs
+++ b/standins/experiments/src/cold_start.rs
@@ -1,15 +1,15 @@
-//! Whether a warming target should cost its remaining setup time.
+//! Checks whether the cost of a warming target should include its remaining warm-up time.
 
 use std::path::Path;
 use std::time::Duration;
 
-use crate::contest::{Contestant, run_all};
+use crate::metrics::RunResult;
+use crate::policy::{TestedPolicy, run_all};
 use crate::report::{GoalCheck, ReportError, draw_plot, lines_by_policy, write_results};
 use crate::scenario::{DEPLOYMENTS, Scenario, TargetFault};
-use crate::tally::RunResult;
 
 const LOADS: [f64; 3] = [0.5, 0.8, 0.95];
-const SETUPS: [Duration; 4] = [
+const WARMUPS: [Duration; 4] = [
     Duration::from_millis(200),
     Duration::from_secs(1),
     Duration::from_secs(5),
@@ -21,16 +21,16 @@
 pub(crate) fn run(directory: &Path, seed: u64) -> Result<(), ReportError> {
     let mut jobs = Vec::new();
     for deployment in [DEPLOYMENTS[0], DEPLOYMENTS[3]] {
-        for setup in SETUPS {
+        for warmup in WARMUPS {
             for load in LOADS {
                 for lag in LAGS {
                     let scenario = Scenario::new(deployment, load, lag)
-                        .with_fault(TargetFault::Cold, setup)
+                        .with_fault(TargetFault::Cold, warmup)
                         .with_requests(REQUESTS)
                         .with_seed(seed);
-                    jobs.push((Contestant::Ours, scenario.clone()));
-                    jobs.push((Contestant::OursWithoutSetup, scenario.clone()));
-                    jobs.push((Contestant::TwoChoices, scenario));
+                    jobs.push((TestedPolicy::Shipped, scenario.clone()));
+                    jobs.push((TestedPolicy::ShippedWithoutWarmup, scenario.clone()));
+                    jobs.push((TestedPolicy::TwoChoices, scenario));
                 }
             }
         }
@@ -55,11 +55,12 @@
     )
 }
 
-/// Counting setup is kept only where it is better, so each case compares it with ignoring it.
+/// Compares counting the warm-up with ignoring it in each case: it is counted only if that costs
+/// less.
 fn check(results: &[RunResult]) -> Vec<GoalCheck> {
     let policy = |name: &'static str| results.iter().filter(move |one| one.policy == name);
-    let with = policy(Contestant::Ours.name());
-    let without = policy(Contestant::OursWithoutSetup.name());
+    let with = policy(TestedPolicy::Shipped.name());
+    let without = policy(TestedPolicy::ShippedWithoutWarmup.name());
     with.zip(without)
         .map(|(with, without)| {
             let case = format!(
--- a/standins/experiments/src/compare.rs
+++ b/standins/experiments/src/compare.rs
@@ -1,8 +1,9 @@
-//! Compares two builds by reports of the same days: what differs, and whether that is more than chance.
+//! Compares two builds by their reports of the same days, with confidence intervals.
 //!
-//! Reports are the users' bench's, one file a played day, named `SITE+DAY+SEED.LABEL.json`; `docs/experiments/compare/run.sh`
-//! plays the days and leaves them so, and goes on where it was cut. A day that lacks one of the two is left out
-//! and named.
+//! The reports come from the users' benchmark, one file per simulated day, named
+//! `SITE+DAY+SEED.LABEL.json`. `docs/experiments/compare/run.sh` runs the days, writes the reports
+//! under these names and resumes after an interruption. A day with a report of only one build is
+//! skipped and named.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,11 +17,11 @@
 
 use crate::report::{ReportError, write_results};
 
-/// Draws of days with replacement, for an interval.
+/// Bootstrap samples (days drawn with replacement) per confidence interval.
 const RESAMPLES: usize = 2_000;
 
-/// Of the draws so many in a hundred lie beyond each end of the interval.
-const TAIL_PERCENT: usize = 25;
+/// Share of the bootstrap samples beyond each end of the interval, in thousandths (2.5 %).
+const TAIL_PER_MILLE: usize = 25;
 
 /// Why two builds could not be compared.
 #[derive(Debug, Error)]
@@ -30,7 +31,7 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    #[error("{path} is no report: {source}")]
+    #[error("cannot parse report {path}: {source}")]
     Malformed {
         path: PathBuf,
         source: serde_json::Error,
@@ -41,7 +42,7 @@
     Report(#[from] ReportError),
 }
 
-/// What of a report is compared. `G` is the bench's name of a day's worth.
+/// The compared fields of a report. `G` is the benchmark's name for the worth of a day.
 #[derive(Clone, Debug, Deserialize)]
 struct DayReport {
     #[serde(rename = "G")]
@@ -49,9 +50,9 @@
     failed: f64,
     refused: f64,
     all: DayTotals,
-    /// What was paid for, how much of it, and what it took off the worth.
+    /// Priced items: name, amount, and the worth deducted for it.
     prices: Vec<(String, f64, f64)>,
-    /// Rules that were broken, by name.
+    /// Violations by name of the rule.
     breaks: BTreeMap<String, u64>,
 }
 
@@ -62,7 +63,7 @@
     p99_ms: f64,
 }
 
-/// One figure of a report.
+/// A figure computed from a report.
 struct Figure {
     name: &'static str,
     of: fn(&DayReport) -> f64,
@@ -95,14 +96,14 @@
     },
 ];
 
-/// A day with its reports of both builds.
+/// A day with the reports of both builds.
 struct DayPair {
     site: String,
     day: String,
     reports: [DayReport; 2],
 }
 
-/// One figure on one site.
+/// The comparison of one figure on one site.
 #[derive(Clone, Debug, Serialize)]
 struct Difference {
     site: String,
@@ -110,14 +111,14 @@
     days: usize,
     /// Mean of the first build.
     first: f64,
-    /// Mean of the second less the first, and the ends of its interval.
+    /// Mean of the second build minus the first; `low` and `high` bound its confidence interval.
     difference: f64,
     low: f64,
     high: f64,
     verdict: &'static str,
 }
 
-/// Compares the reports in `directory` and writes table, CSV and plot into `out`.
+/// Compares the reports in `directory`, and writes CSV, JSON and plot into `out`.
 pub(crate) fn run(
     directory: &Path,
     labels: [&str; 2],
@@ -131,8 +132,8 @@
     let mut differences = Vec::new();
     for site in sites {
         let days: Vec<_> = pairs.iter().filter(|pair| pair.site == site).collect();
-        let of_site = FIGURES.map(|figure| compare(site, &days, &figure, &mut random));
-        differences.extend(of_site);
+        let site_differences = FIGURES.map(|figure| compare(site, &days, &figure, &mut random));
+        differences.extend(site_differences);
     }
     let all: Vec<_> = pairs.iter().collect();
     differences.extend(FIGURES.map(|figure| compare("all", &all, &figure, &mut random)));
@@ -201,27 +202,27 @@
 
 fn compare(site: &str, days: &[&DayPair], figure: &Figure, random: &mut SmallRng) -> Difference {
     let value = |pair: &DayPair, at: usize| (figure.of)(&pair.reports[at]);
-    let gaps: Vec<f64> = days
+    let deltas: Vec<f64> = days
         .iter()
         .map(|pair| value(pair, 1) - value(pair, 0))
         .collect();
     let firsts: Vec<f64> = days.iter().map(|pair| value(pair, 0)).collect();
-    let (low, high) = interval(&gaps, random);
+    let (low, high) = bootstrap_interval(&deltas, random);
     Difference {
         site: site.to_owned(),
         figure: figure.name,
         days: days.len(),
         first: round(mean(&firsts)),
-        difference: round(mean(&gaps)),
+        difference: round(mean(&deltas)),
         low: round(low),
         high: round(high),
-        verdict: verdict(&gaps, low, high),
+        verdict: verdict(&deltas, low, high),
     }
 }
 
-/// What an interval says. One or two days say nothing of chance.
-fn verdict(gaps: &[f64], low: f64, high: f64) -> &'static str {
-    if gaps.len() < 3 {
+/// Interprets an interval. One or two days are too few to estimate the variance.
+fn verdict(deltas: &[f64], low: f64, high: f64) -> &'static str {
+    if deltas.len() < 3 {
         "too few days"
     } else if low <= 0.0 && high >= 0.0 {
         "no difference"
@@ -232,16 +233,16 @@
     }
 }
 
-/// Where the mean lies in 95 of a hundred draws of days with replacement.
-fn interval(gaps: &[f64], random: &mut SmallRng) -> (f64, f64) {
+/// Returns the 95 % bootstrap confidence interval of the mean.
+fn bootstrap_interval(deltas: &[f64], random: &mut SmallRng) -> (f64, f64) {
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
-            let drawn = (0..gaps.len()).map(|_| gaps[random.random_range(0..gaps.len())]);
+            let drawn = (0..deltas.len()).map(|_| deltas[random.random_range(0..deltas.len())]);
             mean(&drawn.collect::<Vec<_>>())
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    let tail = RESAMPLES * TAIL_PERCENT / 1_000;
+    let tail = RESAMPLES * TAIL_PER_MILLE / 1_000;
     (means[tail], means[RESAMPLES - 1 - tail])
 }
 
@@ -254,24 +255,24 @@
     (value * 10_000.0).round() / 10_000.0
 }
 
-/// Pixels for so many days.
+/// Returns the height of the plot in pixels.
 fn height(days: usize) -> u32 {
     60 + 24 * u32::try_from(days.max(4)).unwrap_or(100)
 }
 
-/// Draws what each day's worth gained.
+/// Draws the change of worth of each day.
 fn draw(
     path: &Path,
     labels: [&str; 2],
     pairs: &[DayPair],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let gains: Vec<f64> = pairs
+    let changes: Vec<f64> = pairs
         .iter()
         .map(|pair| pair.reports[1].worth - pair.reports[0].worth)
         .collect();
-    let most = gains
+    let max = changes
         .iter()
-        .fold(0.01_f64, |most, gain| most.max(gain.abs()))
+        .fold(0.01_f64, |max, change| max.max(change.abs()))
         * 1.1;
     let count = i32::try_from(pairs.len())?;
     let root = SVGBackend::new(path, (820, height(pairs.len()))).into_drawing_area();
@@ -285,7 +286,7 @@
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(330)
-        .build_cartesian_2d(-most..most, 0..count)?;
+        .build_cartesian_2d(-max..max, 0..count)?;
     chart
         .configure_mesh()
         .disable_y_mesh()
@@ -295,9 +296,9 @@
             day.map_or_else(String::new, |pair| pair.day.clone())
         })
         .draw()?;
-    for (at, gain) in (0..).zip(&gains) {
-        let color = if *gain < 0.0 { RED } else { BLUE };
-        let bar = Rectangle::new([(0.0, at), (*gain, at + 1)], color.mix(0.6).filled());
+    for (at, change) in (0..).zip(&changes) {
+        let color = if *change < 0.0 { RED } else { BLUE };
+        let bar = Rectangle::new([(0.0, at), (*change, at + 1)], color.mix(0.6).filled());
         chart.draw_series(std::iter::once(bar))?;
     }
     root.present()?;
--- a/standins/experiments/src/event.rs
+++ b/standins/experiments/src/event.rs
@@ -1,4 +1,4 @@
-//! The event list of a run.
+//! The event queue of a simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,19 +6,19 @@
 use lovagelatch_domain::{AttemptId, GateReport, Moment, RefusalReason};
 use std::time::Duration;
 
-/// Something that happens at a moment.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
-pub(crate) enum Event {
+pub(crate) enum SimEvent {
     /// The next request arrives.
     Arrival,
     /// An attempt reaches a gate.
-    Reach { attempt: AttemptId, gate: usize },
-    /// A server ends an attempt.
-    End { attempt: AttemptId, gate: usize },
-    /// A gate asked to be woken.
-    Wake { gate: usize },
-    /// The answer of a gate reaches the holder.
-    Answer {
+    GateArrival { attempt: AttemptId, gate: usize },
+    /// A server finishes an attempt.
+    ServiceEnd { attempt: AttemptId, gate: usize },
+    /// A wakeup that a gate requested is due.
+    Wakeup { gate: usize },
+    /// The response reaches the holder, with the report of the gate.
+    Response {
         attempt: AttemptId,
         gate: usize,
         report: GateReport,
@@ -30,57 +30,57 @@
         reason: RefusalReason,
         retry_after: Duration,
     },
-    /// A gate reports its load.
-    Sample { gate: usize },
+    /// A gate samples its load for a report.
+    LoadSample { gate: usize },
     /// A report reaches the peers.
-    Report { gate: usize, report: GateReport },
-    /// Target 0 starts cold or is warm.
-    Condition { cold: bool },
-    /// Target 0 leaves.
+    LoadReport { gate: usize, report: GateReport },
+    /// Target 0 becomes cold, or warm again.
+    ConditionChange { cold: bool },
+    /// Target 0 starts to leave.
     Leave,
 }
 
-struct Entry {
+struct QueueEntry {
     at: Moment,
     order: u64,
-    event: Event,
+    event: SimEvent,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for QueueEntry {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Entry {}
+impl Eq for QueueEntry {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for QueueEntry {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for QueueEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-/// Events in order of time, then of their making.
+/// A queue of events in order of time, then of insertion.
 #[derive(Default)]
-pub(crate) struct EventList {
-    heap: BinaryHeap<Reverse<Entry>>,
-    made: u64,
+pub(crate) struct EventQueue {
+    heap: BinaryHeap<Reverse<QueueEntry>>,
+    pushed: u64,
 }
 
-impl EventList {
-    pub(crate) fn push(&mut self, at: Moment, event: Event) {
-        self.made += 1;
-        let order = self.made;
-        self.heap.push(Reverse(Entry { at, order, event }));
+impl EventQueue {
+    pub(crate) fn push(&mut self, at: Moment, event: SimEvent) {
+        self.pushed += 1;
+        let order = self.pushed;
+        self.heap.push(Reverse(QueueEntry { at, order, event }));
     }
 
-    pub(crate) fn pop(&mut self) -> Option<(Moment, Event)> {
+    pub(crate) fn pop(&mut self) -> Option<(Moment, SimEvent)> {
         let Reverse(entry) = self.heap.pop()?;
         Some((entry.at, entry.event))
     }
--- a/standins/experiments/src/fairness.rs
+++ b/standins/experiments/src/fairness.rs
@@ -1,37 +1,37 @@
-//! What rival agencies keep while one rushes.
+//! Measures what share of their requests agencies complete while a competing agency rushes.
 
 use std::path::Path;
 use std::time::Duration;
 
 use serde::Serialize;
 
-use crate::contest::{Contestant, run_all};
+use crate::metrics::{RunResult, round};
+use crate::policy::{TestedPolicy, run_all};
 use crate::report::{GoalCheck, PlotLine, ReportError, draw_plot, write_results};
 use crate::scenario::{AgencyLoad, DEPLOYMENTS, Fairness, Scenario};
-use crate::tally::{RunResult, round};
 
 const NAMES: [&str; 4] = ["rushing", "ludhiana", "amritsar", "multan"];
 
-/// Each agency's usual load; its fair share is a quarter.
+/// Each agency's normal load as a share of capacity; its fair share is a quarter.
 const USUAL_LOAD: f64 = 0.2;
 const RUSHES: [f64; 5] = [1.0, 2.0, 3.0, 5.0, 10.0];
 const DEADLINE: Duration = Duration::from_secs(2);
 const LAG: Duration = Duration::from_secs(1);
 const REQUESTS: usize = 80_000;
-const LEAST_KEPT: f64 = 0.95;
+const MIN_SHARE_KEPT: f64 = 0.95;
 
-/// What agencies got in one run.
+/// The completed requests of each agency in one run.
 #[derive(Clone, Debug, Serialize)]
 struct FairnessResult {
     deployment: &'static str,
     fairness: Fairness,
     rush: f64,
-    /// Done in time over arrived, of the agency that is worst off among the fair ones.
+    /// Lowest ratio of requests done in time to arrived, among the agencies that do not rush.
     worst_fair_kept: f64,
-    /// The same over that agency's result without a rush.
+    /// Lowest quotient of that ratio and the same agency's ratio without a rush.
     worst_fair_share: f64,
     rushing_kept: f64,
-    /// The rushing agency's part of all work done in time.
+    /// Share of the rushing agency among all requests done in time.
     rushing_part: f64,
     goodput: f64,
     p99_ms: f64,
@@ -43,12 +43,12 @@
     let jobs = jobs(seed);
     let runs = run_all(&jobs);
     let mut results = Vec::new();
-    let mut calm: Vec<f64> = Vec::new();
+    let mut baseline: Vec<f64> = Vec::new();
     for ((_, scenario), result) in jobs.iter().zip(&runs) {
         if scenario.agencies[0].rush <= 1.0 {
-            calm = kept_of(result);
+            baseline = completion_ratios(result);
         }
-        results.push(weigh(scenario, result, &calm));
+        results.push(summarize(scenario, result, &baseline));
     }
     let goals: Vec<GoalCheck> = results
         .iter()
@@ -58,7 +58,7 @@
                 "fair agency's share under a rival's 10x rush",
                 result.deployment.to_owned(),
                 result.worst_fair_share,
-                LEAST_KEPT,
+                MIN_SHARE_KEPT,
             )
         })
         .collect();
@@ -66,7 +66,7 @@
     draw(directory, &results)
 }
 
-fn jobs(seed: u64) -> Vec<(Contestant, Scenario)> {
+fn jobs(seed: u64) -> Vec<(TestedPolicy, Scenario)> {
     let mut jobs = Vec::new();
     for deployment in DEPLOYMENTS {
         for fairness in [Fairness::PerAgency, Fairness::OneQueue] {
@@ -77,7 +77,7 @@
                     .with_deadline(DEADLINE)
                     .with_requests(REQUESTS)
                     .with_seed(seed);
-                jobs.push((Contestant::Ours, scenario));
+                jobs.push((TestedPolicy::Shipped, scenario));
             }
         }
     }
@@ -93,7 +93,7 @@
     NAMES.iter().enumerate().map(agency).collect()
 }
 
-fn kept_of(result: &RunResult) -> Vec<f64> {
+fn completion_ratios(result: &RunResult) -> Vec<f64> {
     #[allow(clippy::cast_precision_loss)]
     let kept = |done: u64, arrived: u64| done as f64 / arrived.max(1) as f64;
     result
@@ -103,24 +103,24 @@
         .collect()
 }
 
-fn weigh(scenario: &Scenario, result: &RunResult, calm: &[f64]) -> FairnessResult {
-    let kept = kept_of(result);
+fn summarize(scenario: &Scenario, result: &RunResult, baseline: &[f64]) -> FairnessResult {
+    let kept = completion_ratios(result);
     let worst = kept[1..].iter().copied().fold(f64::INFINITY, f64::min);
-    let shares = kept.iter().zip(calm).skip(1);
-    let share = shares
-        .map(|(kept, calm)| kept / calm.max(1e-9))
+    let shares = kept.iter().zip(baseline).skip(1);
+    let worst_share = shares
+        .map(|(kept, baseline)| kept / baseline.max(1e-9))
         .fold(f64::INFINITY, f64::min);
-    let done: u64 = result.classes.iter().map(|class| class.done).sum();
+    let total_done: u64 = result.classes.iter().map(|class| class.done).sum();
     #[allow(clippy::cast_precision_loss)]
-    let part = result.classes[0].done as f64 / done.max(1) as f64;
+    let rushing_share = result.classes[0].done as f64 / total_done.max(1) as f64;
     FairnessResult {
         deployment: result.deployment,
         fairness: scenario.fairness,
         rush: scenario.agencies[0].rush,
         worst_fair_kept: worst,
-        worst_fair_share: round(share),
+        worst_fair_share: round(worst_share),
         rushing_kept: kept[0],
-        rushing_part: round(part),
+        rushing_part: round(rushing_share),
         goodput: result.goodput,
         p99_ms: result.p99_ms,
         attempts: result.attempts,
--- a/standins/experiments/src/main.rs
+++ b/standins/experiments/src/main.rs
@@ -1,23 +1,23 @@
-//! Experiments on the decisions under load.
+//! Runs experiments on placement and admission under load.
 //!
-//! A small event loop drives the shipped gates and placements with fakes for servers, callers
-//! and the network. Every run is fixed by its seed. Each subcommand is one experiment; it
-//! prints its table and the goals it checks, and writes CSV, JSON and SVG files.
+//! An event loop drives the shipped gates and placements with simulated servers, callers and
+//! network. A run is determined by its seed. Each subcommand is one experiment: it prints its
+//! table and the goals that it checks, and writes CSV, JSON and SVG files.
 
 mod chain;
 mod cold_start;
 mod compare;
-mod contest;
+mod distribution;
 mod event;
 mod fairness;
-mod law;
+mod metrics;
 mod overload;
 mod placement;
+mod policy;
 mod report;
 mod retries;
 mod scenario;
-mod tally;
-mod world;
+mod simulation;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/standins/experiments/src/tally.rs
+++ b/standins/experiments/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What one run measured.
+//! The metrics of one run.
 
 use hdrhistogram::Histogram;
 use lovagelatch_domain::Moment;
@@ -6,10 +6,10 @@
 
 use crate::scenario::Scenario;
 
-/// Latencies are kept in microseconds up to ten minutes, to three digits.
-const MOST_MICROS: u64 = 600_000_000;
+/// Upper bound of recorded latencies: ten minutes. They are kept to three significant digits.
+const MAX_MICROS: u64 = 600_000_000;
 
-/// Counts of one class of requests.
+/// Request counts of one class: an agency, or all requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct ClassCount {
     pub(crate) arrived: u64,
@@ -17,56 +17,57 @@
     pub(crate) refused: u64,
 }
 
-/// Counters of a run while it goes on.
-pub(crate) struct RunTally {
+/// Collects the metrics of a running simulation.
+pub(crate) struct RunMetrics {
     latency: Histogram<u64>,
-    /// One per agency, or one.
+    /// One entry per agency, or one for all requests.
     pub(crate) classes: Vec<ClassCount>,
     pub(crate) attempts: u64,
-    /// Slot time by target, in seconds.
+    /// Time that slots were in use, in seconds by target.
     pub(crate) work: Vec<f64>,
-    /// Requests that reached target 0 after it told that it leaves.
-    pub(crate) started_leaving: u64,
+    /// Requests that started on target 0 after it announced that it leaves.
+    pub(crate) started_while_leaving: u64,
     pub(crate) late: u64,
-    pub(crate) warm_from: Moment,
-    pub(crate) until: Moment,
+    pub(crate) measured_from: Moment,
+    pub(crate) measured_until: Moment,
 }
 
-impl RunTally {
-    pub(crate) fn new(scenario: &Scenario, warm_from: Moment, until: Moment) -> Self {
+impl RunMetrics {
+    pub(crate) fn new(scenario: &Scenario, measured_from: Moment, measured_until: Moment) -> Self {
         let classes = scenario.agencies.len().max(1);
         Self {
-            latency: Histogram::new_with_bounds(1, MOST_MICROS, 3)
+            latency: Histogram::new_with_bounds(1, MAX_MICROS, 3)
                 .expect("the bounds are valid constants"),
             classes: vec![ClassCount::default(); classes],
             attempts: 0,
             work: vec![0.0; scenario.deployment.targets],
-            started_leaving: 0,
+            started_while_leaving: 0,
             late: 0,
-            warm_from,
-            until,
+            measured_from,
+            measured_until,
         }
     }
 
-    pub(crate) fn counts(&self, arrived: Moment) -> bool {
-        arrived >= self.warm_from && arrived < self.until
+    /// Whether a request that arrived at `arrived` counts towards the results.
+    pub(crate) fn is_measured(&self, arrived: Moment) -> bool {
+        arrived >= self.measured_from && arrived < self.measured_until
     }
 
-    /// Adds the part of a slot's use that lies in the measured window.
-    pub(crate) fn note_work(&mut self, gate: usize, from: Moment, to: Moment) {
-        let from = from.max(self.warm_from);
-        let to = to.min(self.until);
+    /// Adds the part of a slot's use that falls into the measured window.
+    pub(crate) fn record_work(&mut self, gate: usize, from: Moment, to: Moment) {
+        let from = from.max(self.measured_from);
+        let to = to.min(self.measured_until);
         self.work[gate] += to.since(from).as_secs_f64();
     }
 
-    pub(crate) fn note_done(
+    pub(crate) fn record_done(
         &mut self,
         class: usize,
         arrived: Moment,
         deadline: Moment,
         at: Moment,
     ) {
-        let micros = u64::try_from(at.since(arrived).as_micros()).unwrap_or(MOST_MICROS);
+        let micros = u64::try_from(at.since(arrived).as_micros()).unwrap_or(MAX_MICROS);
         self.latency.saturating_record(micros.max(1));
         if at <= deadline {
             self.classes[class].done += 1;
@@ -79,7 +80,7 @@
         let arrived: u64 = self.classes.iter().map(|class| class.arrived).sum();
         let done: u64 = self.classes.iter().map(|class| class.done).sum();
         let refused: u64 = self.classes.iter().map(|class| class.refused).sum();
-        let seconds = self.until.since(self.warm_from).as_secs_f64();
+        let seconds = self.measured_until.since(self.measured_from).as_secs_f64();
         let millis = |quantile: f64| {
             let micros = self.latency.value_at_quantile(quantile);
             round(micros as f64 / 1_000.0)
@@ -87,7 +88,7 @@
         let total: f64 = self.work.iter().sum();
         #[allow(clippy::cast_precision_loss)]
         let mean = total / self.work.len() as f64;
-        let most = self.work.iter().copied().fold(0.0, f64::max);
+        let max = self.work.iter().copied().fold(0.0, f64::max);
         RunResult {
             deployment: scenario.deployment.name,
             policy,
@@ -95,12 +96,12 @@
             lag_s: scenario.lag.as_secs_f64(),
             fault: scenario.fault,
             deadline_s: scenario.deadline.as_secs_f64(),
-            setup_s: scenario.setup.as_secs_f64(),
+            setup_s: scenario.warmup.as_secs_f64(),
             sizes: scenario.sizes,
             arrivals: scenario.arrivals,
             seed: scenario.seed,
             requests: arrived,
-            imbalance: round(most / mean.max(1e-9)),
+            imbalance: round(max / mean.max(1e-9)),
             p50_ms: millis(0.5),
             p99_ms: millis(0.99),
             p999_ms: millis(0.999),
@@ -114,14 +115,14 @@
             refused_share: round(refused as f64 / arrived.max(1) as f64),
             late_share: round(self.late as f64 / arrived.max(1) as f64),
             attempts: round(self.attempts as f64 / arrived.max(1) as f64),
-            after_leaving: self.started_leaving,
+            after_leaving: self.started_while_leaving,
             classes: self.classes,
         }
     }
 }
 
-/// What a finished run is reported with. Times are in milliseconds, goodput in requests a
-/// second.
+/// The results of a finished run. Goodput is in requests per second; `attempts` is the mean per
+/// request.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct RunResult {
     pub(crate) deployment: &'static str,
@@ -131,8 +132,8 @@
     pub(crate) fault: crate::scenario::TargetFault,
     pub(crate) deadline_s: f64,
     pub(crate) setup_s: f64,
-    pub(crate) sizes: crate::law::SizeLaw,
-    pub(crate) arrivals: crate::law::ArrivalLaw,
+    pub(crate) sizes: crate::distribution::SizeDistribution,
+    pub(crate) arrivals: crate::distribution::ArrivalPattern,
     pub(crate) seed: u64,
     pub(crate) requests: u64,
     pub(crate) imbalance: f64,
@@ -140,7 +141,7 @@
     pub(crate) p99_ms: f64,
     pub(crate) p999_ms: f64,
     pub(crate) mean_ms: f64,
-    /// Mean latency with each refused request counted as its whole deadline.
+    /// Mean latency, with each refused request counted as its full deadline.
     pub(crate) cost_ms: f64,
     pub(crate) goodput: f64,
     pub(crate) refused_share: f64,
--- a/standins/experiments/src/overload.rs
+++ b/standins/experiments/src/overload.rs
@@ -1,19 +1,19 @@
-//! Goodput beyond capacity.
+//! Measures goodput at loads above capacity.
 
 use std::path::Path;
 use std::time::Duration;
 
-use crate::contest::{Contestant, run_all};
-use crate::law::{ArrivalLaw, SizeLaw};
+use crate::distribution::{ArrivalPattern, SizeDistribution};
+use crate::metrics::RunResult;
+use crate::policy::{TestedPolicy, run_all};
 use crate::report::{GoalCheck, ReportError, draw_plot, lines_by_policy, write_results};
 use crate::scenario::{DEPLOYMENTS, Scenario};
-use crate::tally::RunResult;
 
 const LOADS: [f64; 5] = [0.8, 1.0, 1.2, 1.5, 2.0];
 const DEADLINES: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(5)];
 const LAG: Duration = Duration::from_secs(1);
 const REQUESTS: usize = 80_000;
-const LEAST_SHARE: f64 = 0.9;
+const MIN_GOODPUT_RATIO: f64 = 0.9;
 
 pub(crate) fn run(directory: &Path, seed: u64) -> Result<(), ReportError> {
     let results = run_all(&jobs(seed));
@@ -24,8 +24,8 @@
         |result| {
             result.deployment == DEPLOYMENTS[0].name
                 && result.deadline_s < 2.0
-                && result.sizes == SizeLaw::Lognormal
-                && result.arrivals == ArrivalLaw::Poisson
+                && result.sizes == SizeDistribution::Lognormal
+                && result.arrivals == ArrivalPattern::Poisson
         },
         |result| (result.load, result.goodput),
     );
@@ -37,11 +37,11 @@
     )
 }
 
-fn jobs(seed: u64) -> Vec<(Contestant, Scenario)> {
+fn jobs(seed: u64) -> Vec<(TestedPolicy, Scenario)> {
     let mut jobs = Vec::new();
     let laws = [
-        (SizeLaw::Lognormal, ArrivalLaw::Poisson),
-        (SizeLaw::Pareto, ArrivalLaw::Bursts),
+        (SizeDistribution::Lognormal, ArrivalPattern::Poisson),
+        (SizeDistribution::Pareto, ArrivalPattern::Bursts),
     ];
     for deployment in &DEPLOYMENTS[..4] {
         for deadline in DEADLINES {
@@ -49,11 +49,11 @@
                 for load in LOADS {
                     let scenario = Scenario::new(*deployment, load, LAG)
                         .with_deadline(deadline)
-                        .with_laws(sizes, arrivals)
+                        .with_load_shape(sizes, arrivals)
                         .with_requests(REQUESTS)
                         .with_seed(seed);
-                    jobs.push((Contestant::Ours, scenario.clone()));
-                    jobs.push((Contestant::TwoChoices, scenario));
+                    jobs.push((TestedPolicy::Shipped, scenario.clone()));
+                    jobs.push((TestedPolicy::TwoChoices, scenario));
                 }
             }
         }
@@ -63,17 +63,17 @@
 
 fn check(results: &[RunResult]) -> Vec<GoalCheck> {
     let mut goals = Vec::new();
-    let ours = || {
+    let shipped = || {
         results
             .iter()
-            .filter(|result| result.policy == Contestant::Ours.name())
+            .filter(|result| result.policy == TestedPolicy::Shipped.name())
     };
-    for double in ours().filter(|result| result.load >= 2.0) {
-        let single = ours().find(|one| {
-            one.deployment == double.deployment
-                && (one.load - 1.0).abs() < 1e-9
-                && (one.deadline_s - double.deadline_s).abs() < 1e-9
-                && one.sizes == double.sizes
+    for double in shipped().filter(|result| result.load >= 2.0) {
+        let single = shipped().find(|result| {
+            result.deployment == double.deployment
+                && (result.load - 1.0).abs() < 1e-9
+                && (result.deadline_s - double.deadline_s).abs() < 1e-9
+                && result.sizes == double.sizes
         });
         let Some(single) = single else {
             continue;
@@ -82,9 +82,9 @@
             "{} deadline {} s {:?} {:?}",
             double.deployment, double.deadline_s, double.sizes, double.arrivals
         );
-        let share = crate::tally::round(double.goodput / single.goodput.max(1e-9));
+        let share = crate::metrics::round(double.goodput / single.goodput.max(1e-9));
         let goal = "goodput at 2x over goodput at 1x";
-        goals.push(GoalCheck::at_least(goal, case, share, LEAST_SHARE));
+        goals.push(GoalCheck::at_least(goal, case, share, MIN_GOODPUT_RATIO));
     }
     goals
 }
--- a/standins/experiments/src/placement.rs
+++ b/standins/experiments/src/placement.rs
@@ -1,13 +1,13 @@
-//! Which gate a request goes to: loads, lags, deployments and faulty targets.
+//! Compares placement policies over loads, report lags, deployments and target faults.
 
 use std::path::Path;
 use std::time::Duration;
 
-use crate::contest::{Contestant, run_all};
-use crate::law::{ArrivalLaw, SizeLaw};
+use crate::distribution::{ArrivalPattern, SizeDistribution};
+use crate::metrics::RunResult;
+use crate::policy::{TestedPolicy, run_all};
 use crate::report::{GoalCheck, ReportError, draw_plot, lines_by_policy, write_results};
 use crate::scenario::{DEPLOYMENTS, Deployment, Scenario, TargetFault};
-use crate::tally::RunResult;
 
 const LOADS: [f64; 5] = [0.5, 0.8, 0.95, 1.2, 2.0];
 const LAGS: [Duration; 3] = [
@@ -23,13 +23,14 @@
 ];
 const REQUESTS: usize = 100_000;
 const LARGE_REQUESTS: usize = 300_000;
-const SETUP: Duration = Duration::from_secs(5);
+const WARMUP: Duration = Duration::from_secs(5);
 
-/// The load at which imbalance has a goal, and the one at which the slowest percent has.
+/// The load at which imbalance is checked.
 const USUAL_LOAD: f64 = 0.8;
+/// The load at which p99 latency is checked.
 const HIGH_LOAD: f64 = 0.95;
 
-const MOST_IMBALANCE: f64 = 1.10;
+const MAX_IMBALANCE: f64 = 1.10;
 
 pub(crate) fn run(directory: &Path, seed: u64) -> Result<(), ReportError> {
     let results = run_all(&jobs(seed));
@@ -41,7 +42,7 @@
     Ok(())
 }
 
-fn jobs(seed: u64) -> Vec<(Contestant, Scenario)> {
+fn jobs(seed: u64) -> Vec<(TestedPolicy, Scenario)> {
     let mut scenarios = Vec::new();
     for lag in LAGS {
         for load in LOADS {
@@ -57,30 +58,30 @@
     }
     for fault in FAULTS {
         let scenario = Scenario::new(DEPLOYMENTS[0], USUAL_LOAD, LAGS[1]);
-        scenarios.push(scenario.with_fault(fault, SETUP));
+        scenarios.push(scenario.with_fault(fault, WARMUP));
     }
     for (sizes, arrivals) in [
-        (SizeLaw::Pareto, ArrivalLaw::Poisson),
-        (SizeLaw::Lognormal, ArrivalLaw::Bursts),
+        (SizeDistribution::Pareto, ArrivalPattern::Poisson),
+        (SizeDistribution::Lognormal, ArrivalPattern::Bursts),
     ] {
         let scenario = Scenario::new(DEPLOYMENTS[0], USUAL_LOAD, LAGS[1]);
-        scenarios.push(scenario.with_laws(sizes, arrivals));
+        scenarios.push(scenario.with_load_shape(sizes, arrivals));
     }
     let mut jobs = Vec::new();
     for scenario in scenarios {
-        let requests = requests_of(&scenario.deployment);
+        let requests = requests_for(&scenario.deployment);
         let scenario = scenario.with_requests(requests).with_seed(seed);
-        let ours = [Contestant::Ours, Contestant::OursHeartbeatsOnly];
-        let all = ours.into_iter().chain(Contestant::BASELINES);
-        jobs.extend(all.map(|contestant| (contestant, scenario.clone())));
+        let shipped = [TestedPolicy::Shipped, TestedPolicy::ShippedHeartbeatsOnly];
+        let all = shipped.into_iter().chain(TestedPolicy::BASELINES);
+        jobs.extend(all.map(|policy| (policy, scenario.clone())));
         if scenario.fault == TargetFault::None {
-            jobs.push((Contestant::OneQueue, one_queue(&scenario)));
+            jobs.push((TestedPolicy::OneQueue, one_queue(&scenario)));
         }
     }
     jobs
 }
 
-fn requests_of(deployment: &Deployment) -> usize {
+fn requests_for(deployment: &Deployment) -> usize {
     if deployment.targets > 16 {
         LARGE_REQUESTS
     } else {
@@ -88,7 +89,8 @@
     }
 }
 
-/// All slots behind one gate: what no placement without preemption can beat by much.
+/// Returns the scenario with all slots behind one gate, a bound that no placement without
+/// preemption beats by much.
 fn one_queue(scenario: &Scenario) -> Scenario {
     let mut scenario = scenario.clone();
     let targets = u16::try_from(scenario.deployment.targets).unwrap_or(u16::MAX);
@@ -100,10 +102,10 @@
 
 fn check(results: &[RunResult]) -> Vec<GoalCheck> {
     let mut goals = Vec::new();
-    let ours = results
+    let shipped = results
         .iter()
-        .filter(|result| result.policy == Contestant::Ours.name());
-    for result in ours {
+        .filter(|result| result.policy == TestedPolicy::Shipped.name());
+    for result in shipped {
         if is_near(result.load, USUAL_LOAD) {
             goals.extend(check_imbalance(result, results));
         }
@@ -114,41 +116,46 @@
     goals
 }
 
-fn check_imbalance(ours: &RunResult, results: &[RunResult]) -> Vec<GoalCheck> {
+fn check_imbalance(shipped: &RunResult, results: &[RunResult]) -> Vec<GoalCheck> {
     let baselines = results
         .iter()
-        .filter(|other| is_same_case(ours, other) && is_baseline(other));
+        .filter(|other| is_same_case(shipped, other) && is_baseline(other));
     let best = baselines
         .map(|other| other.imbalance)
         .fold(f64::INFINITY, f64::min);
     vec![
         GoalCheck::at_most(
             "imbalance at 0.8 load",
-            case_of(ours),
-            ours.imbalance,
-            MOST_IMBALANCE,
+            case_label(shipped),
+            shipped.imbalance,
+            MAX_IMBALANCE,
         ),
         GoalCheck::at_most(
             "imbalance not above the best baseline's",
-            case_of(ours),
-            ours.imbalance,
+            case_label(shipped),
+            shipped.imbalance,
             best,
         ),
     ]
 }
 
-fn check_p99(ours: &RunResult, results: &[RunResult]) -> Option<GoalCheck> {
-    let name = Contestant::TwoChoices.name();
+fn check_p99(shipped: &RunResult, results: &[RunResult]) -> Option<GoalCheck> {
+    let name = TestedPolicy::TwoChoices.name();
     let other = results
         .iter()
-        .find(|other| other.policy == name && is_same_case(ours, other))?;
+        .find(|other| other.policy == name && is_same_case(shipped, other))?;
     let bound = other.p99_ms / 2.0;
     let goal = "p99 at 0.95 load at most half of two choices'";
-    Some(GoalCheck::at_most(goal, case_of(ours), ours.p99_ms, bound))
+    Some(GoalCheck::at_most(
+        goal,
+        case_label(shipped),
+        shipped.p99_ms,
+        bound,
+    ))
 }
 
 fn is_baseline(result: &RunResult) -> bool {
-    Contestant::BASELINES
+    TestedPolicy::BASELINES
         .iter()
         .any(|baseline| baseline.name() == result.policy)
 }
@@ -166,7 +173,7 @@
     (one - other).abs() < 1e-9
 }
 
-fn case_of(result: &RunResult) -> String {
+fn case_label(result: &RunResult) -> String {
     format!(
         "{} load {} lag {} s {:?} {:?} {:?}",
         result.deployment, result.load, result.lag_s, result.fault, result.sizes, result.arrivals
@@ -185,8 +192,8 @@
             result.deployment == DEPLOYMENTS[0].name
                 && is_near(result.lag_s, lag)
                 && result.fault == TargetFault::None
-                && result.sizes == SizeLaw::Lognormal
-                && result.arrivals == ArrivalLaw::Poisson
+                && result.sizes == SizeDistribution::Lognormal
+                && result.arrivals == ArrivalPattern::Poisson
         },
         |result| (result.load, result.p99_ms),
     );
--- a/standins/experiments/src/contest.rs
+++ b/standins/experiments/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policies under comparison, and running many scenarios side by side.
+//! The compared placement policies, and a runner for many scenarios in parallel.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,22 +6,23 @@
 use lovagelatch_placement::PeerPlacement;
 use lovagelatch_placement::baseline::{LeastLoad, RandomChoice, RoundRobin, TwoChoices};
 
+use crate::metrics::RunResult;
 use crate::scenario::Scenario;
-use crate::tally::RunResult;
-use crate::world::run;
+use crate::simulation::run;
 
-/// Runs at once; the machine is shared.
+/// Scenarios that run in parallel; limited because the machine is shared.
 const THREADS: usize = 4;
 
-/// A policy under comparison.
+/// A placement policy under comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Contestant {
-    Ours,
-    /// Ours, blind to setup times.
-    OursWithoutSetup,
-    /// Ours, without the reports that come with answers.
-    OursHeartbeatsOnly,
-    /// Ours with all slots behind one gate; not a baseline but a bound.
+pub(crate) enum TestedPolicy {
+    /// The policy that the agents use.
+    Shipped,
+    /// The shipped policy, ignoring warm-up times.
+    ShippedWithoutWarmup,
+    /// The shipped policy, without the reports that responses carry.
+    ShippedHeartbeatsOnly,
+    /// The shipped policy with all slots behind one gate: a bound, not a baseline.
     OneQueue,
     RoundRobin,
     Random,
@@ -29,7 +30,7 @@
     TwoChoices,
 }
 
-impl Contestant {
+impl TestedPolicy {
     pub(crate) const BASELINES: [Self; 4] = [
         Self::RoundRobin,
         Self::Random,
@@ -39,9 +40,9 @@
 
     pub(crate) const fn name(self) -> &'static str {
         match self {
-            Self::Ours => "lovagelatch",
-            Self::OursWithoutSetup => "lovagelatch-no-setup",
-            Self::OursHeartbeatsOnly => "lovagelatch-heartbeats-only",
+            Self::Shipped => "lovagelatch",
+            Self::ShippedWithoutWarmup => "lovagelatch-no-setup",
+            Self::ShippedHeartbeatsOnly => "lovagelatch-heartbeats-only",
             Self::OneQueue => "one-queue-bound",
             Self::RoundRobin => "round-robin",
             Self::Random => "random",
@@ -53,11 +54,11 @@
     pub(crate) fn run(self, scenario: &Scenario) -> RunResult {
         let name = self.name();
         match self {
-            Self::Ours | Self::OneQueue => run(scenario, name, PeerPlacement::new),
-            Self::OursWithoutSetup => run(scenario, name, |settings| {
+            Self::Shipped | Self::OneQueue => run(scenario, name, PeerPlacement::new),
+            Self::ShippedWithoutWarmup => run(scenario, name, |settings| {
                 PeerPlacement::new(settings.with_counts_warmup(false))
             }),
-            Self::OursHeartbeatsOnly => {
+            Self::ShippedHeartbeatsOnly => {
                 let mut scenario = scenario.clone();
                 scenario.answer_reports = false;
                 run(&scenario, name, PeerPlacement::new)
@@ -70,8 +71,8 @@
     }
 }
 
-/// Runs every pair; results keep the order of the pairs.
-pub(crate) fn run_all(jobs: &[(Contestant, Scenario)]) -> Vec<RunResult> {
+/// Runs every pair and returns the results in the order of the pairs.
+pub(crate) fn run_all(jobs: &[(TestedPolicy, Scenario)]) -> Vec<RunResult> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::with_capacity(jobs.len()));
     std::thread::scope(|scope| {
@@ -79,10 +80,10 @@
             scope.spawn(|| {
                 loop {
                     let index = next.fetch_add(1, Ordering::Relaxed);
-                    let Some((contestant, scenario)) = jobs.get(index) else {
+                    let Some((policy, scenario)) = jobs.get(index) else {
                         return;
                     };
-                    let result = contestant.run(scenario);
+                    let result = policy.run(scenario);
                     if let Ok(mut results) = results.lock() {
                         results.push((index, result));
                     }
--- a/standins/experiments/src/report.rs
+++ b/standins/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! Results as files: CSV, JSON and plots.
+//! Writes results as CSV, JSON and SVG plots.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::tally::RunResult;
+use crate::metrics::RunResult;
 
 /// Why results could not be written.
 #[derive(Debug, Error)]
@@ -23,7 +23,7 @@
     Draw { path: PathBuf, detail: String },
 }
 
-/// A goal with what was measured for it.
+/// A goal and the value measured for it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct GoalCheck {
     pub(crate) goal: &'static str,
@@ -103,7 +103,7 @@
     fs::write(path, text).map_err(to_error)
 }
 
-/// One line per result; nested lists are left to the JSON file.
+/// Returns one line per result. Nested lists are only in the JSON file.
 fn to_csv<T: Serialize>(results: &[T]) -> Result<String, ReportError> {
     let mut lines = Vec::with_capacity(results.len() + 1);
     for result in results {
@@ -124,13 +124,13 @@
     Ok(lines.join("\n") + "\n")
 }
 
-/// One line of a plot.
+/// A labelled line of a plot.
 pub(crate) struct PlotLine {
     pub(crate) label: String,
     pub(crate) points: Vec<(f64, f64)>,
 }
 
-/// Collects one line per policy from results that `keep` accepts.
+/// Collects one line per policy from the results that `keep` accepts.
 pub(crate) fn lines_by_policy(
     results: &[RunResult],
     keep: impl Fn(&RunResult) -> bool,
@@ -138,8 +138,8 @@
 ) -> Vec<PlotLine> {
     let mut lines: Vec<PlotLine> = Vec::new();
     for result in results.iter().filter(|result| keep(result)) {
-        let at = lines.iter().position(|line| line.label == result.policy);
-        let index = at.unwrap_or_else(|| {
+        let existing = lines.iter().position(|line| line.label == result.policy);
+        let index = existing.unwrap_or_else(|| {
             lines.push(PlotLine {
                 label: result.policy.to_owned(),
                 points: Vec::new(),
@@ -151,7 +151,7 @@
     lines
 }
 
-/// Draws lines with a logarithmic vertical axis.
+/// Draws lines with a logarithmic y axis.
 pub(crate) fn draw_plot(
     path: &Path,
     title: &str,
@@ -171,10 +171,10 @@
     lines: &[PlotLine],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let points = || lines.iter().flat_map(|line| line.points.iter());
-    let least_x = points().map(|point| point.0).fold(f64::INFINITY, f64::min);
-    let most_x = points().map(|point| point.0).fold(f64::MIN, f64::max);
-    let least_y = points().map(|point| point.1).fold(f64::INFINITY, f64::min);
-    let most_y = points().map(|point| point.1).fold(f64::MIN, f64::max);
+    let min_x = points().map(|point| point.0).fold(f64::INFINITY, f64::min);
+    let max_x = points().map(|point| point.0).fold(f64::MIN, f64::max);
+    let min_y = points().map(|point| point.1).fold(f64::INFINITY, f64::min);
+    let max_y = points().map(|point| point.1).fold(f64::MIN, f64::max);
     let root = SVGBackend::new(path, (720, 420)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -182,7 +182,7 @@
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(70)
-        .build_cartesian_2d(least_x..most_x, (least_y * 0.9..most_y * 1.1).log_scale())?;
+        .build_cartesian_2d(min_x..max_x, (min_y * 0.9..max_y * 1.1).log_scale())?;
     chart
         .configure_mesh()
         .x_desc(axes.0)
--- a/standins/experiments/src/retries.rs
+++ b/standins/experiments/src/retries.rs
@@ -1,20 +1,20 @@
-//! Attempts while a service is out, and how soon it serves again.
+//! Measures attempts during an outage of a service, and its recovery.
 
 use std::path::Path;
 use std::time::Duration;
 
 use crate::chain::{ChainResult, RetryRule, run_chain};
-use crate::contest::{Contestant, run_all};
+use crate::metrics::RunResult;
+use crate::policy::{TestedPolicy, run_all};
 use crate::report::{GoalCheck, PlotLine, ReportError, draw_plot, write_results};
 use crate::scenario::{DEPLOYMENTS, Scenario, TargetFault};
-use crate::tally::RunResult;
 
 const LAG: Duration = Duration::from_secs(1);
 const DEADLINE: Duration = Duration::from_secs(2);
 const LOAD: f64 = 0.8;
 const REQUESTS: usize = 60_000;
 const DEPTHS: [usize; 4] = [1, 2, 3, 4];
-const MOST_ATTEMPTS: f64 = 1.1;
+const MAX_MEAN_ATTEMPTS: f64 = 1.1;
 
 pub(crate) fn run(directory: &Path, seed: u64) -> Result<(), ReportError> {
     let mut jobs = Vec::new();
@@ -25,7 +25,7 @@
                 .with_fault(fault, Duration::ZERO)
                 .with_requests(REQUESTS)
                 .with_seed(seed);
-            jobs.push((Contestant::Ours, scenario));
+            jobs.push((TestedPolicy::Shipped, scenario));
         }
     }
     let runs = run_all(&jobs);
@@ -44,14 +44,21 @@
     let mut goals: Vec<GoalCheck> = runs
         .iter()
         .filter(|run| run.fault == TargetFault::Outage)
-        .map(|run| GoalCheck::at_most(goal, run.deployment.to_owned(), run.attempts, MOST_ATTEMPTS))
+        .map(|run| {
+            GoalCheck::at_most(
+                goal,
+                run.deployment.to_owned(),
+                run.attempts,
+                MAX_MEAN_ATTEMPTS,
+            )
+        })
         .collect();
-    let ours = chains
+    let with_allowance = chains
         .iter()
         .filter(|chain| chain.rule == RetryRule::BudgetAndAllowance);
-    goals.extend(ours.map(|chain| {
+    goals.extend(with_allowance.map(|chain| {
         let case = format!("chain of {} links", chain.depth);
-        GoalCheck::at_most(goal, case, chain.attempts_at_last, MOST_ATTEMPTS)
+        GoalCheck::at_most(goal, case, chain.attempts_at_last, MAX_MEAN_ATTEMPTS)
     }));
     goals
 }
--- a/standins/experiments/src/scenario.rs
+++ b/standins/experiments/src/scenario.rs
@@ -1,18 +1,18 @@
-//! What one run is made of.
+//! The parameters of one run.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-use crate::law::{ArrivalLaw, SizeLaw};
+use crate::distribution::{ArrivalPattern, SizeDistribution};
 
 /// Mean time that a request holds a slot, in seconds.
 pub(crate) const MEAN_SIZE: f64 = 0.1;
 
-/// The hottest agent receives this many times the flows of each other one.
+/// Flows that the busiest agent receives, as a multiple of those of each other agent.
 const HOT_HOLDER: f64 = 1.5;
 
-/// A service's targets.
+/// The size of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct Deployment {
     pub(crate) name: &'static str,
@@ -21,7 +21,7 @@
     pub(crate) zones: usize,
 }
 
-/// The users' services, and one that needs subsets.
+/// The users' services, and one large enough that agents use subsets of their peers.
 pub(crate) const DEPLOYMENTS: [Deployment; 5] = [
     deployment("indus-claims", 7, 3, 4),
     deployment("indus-certificates", 4, 3, 4),
@@ -40,73 +40,75 @@
 }
 
 impl Deployment {
-    /// Requests a second at which all slots are in use.
+    /// Returns the requests per second at which all slots are in use.
     pub(crate) fn capacity(&self) -> f64 {
         let slots = u32::try_from(self.targets).unwrap_or(u32::MAX) * u32::from(self.slots);
         f64::from(slots) / MEAN_SIZE
     }
 }
 
-/// An agency's part of the arrivals.
+/// The request rate of an agency.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct AgencyLoad {
     pub(crate) name: &'static str,
-    /// Its rate as a share of capacity.
+    /// Request rate as a share of capacity.
     pub(crate) load: f64,
-    /// What its rate is multiplied by from the start of the rush on.
+    /// Factor on the rate from the start of the measurement.
     pub(crate) rush: f64,
 }
 
-/// What is wrong with target 0.
+/// The fault of target 0, or of all targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum TargetFault {
     None,
-    /// Its reports always show it idle.
+    /// Its reports always show an idle gate.
     Lying,
-    /// It starts cold again and again and then needs the setup time.
+    /// It starts cold repeatedly and needs the warm-up time after each cold start.
     Cold,
-    /// It takes ten times as long.
+    /// Its requests take ten times as long.
     Slow,
-    /// It leaves at half time.
+    /// It starts to leave halfway through the run.
     Leaving,
-    /// All targets refuse everything from the start of the measurement on.
+    /// All targets refuse all requests from the start of the measurement.
     Outage,
-    /// All targets refuse everything until half time, when the measurement starts.
+    /// All targets refuse all requests until halfway through the run, when the measurement starts.
     Recovery,
 }
 
-/// How the gates tell agencies apart.
+/// How the gates queue the requests of agencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Fairness {
-    /// A queue for each agency.
+    /// One queue per agency.
     PerAgency,
-    /// One queue for all, first come first served.
+    /// One FIFO queue for all agencies.
     OneQueue,
 }
 
-/// Everything that decides a run.
+/// All parameters of a run, including the seed.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Scenario {
     pub(crate) deployment: Deployment,
     /// Arrivals as a share of capacity.
     pub(crate) load: f64,
-    /// What the load is multiplied by in the second half of the run.
+    /// Factor on the load in the second half of the run.
     pub(crate) ramp: f64,
+    /// Interval between load reports plus their time in transmission.
     pub(crate) lag: Duration,
-    pub(crate) sizes: SizeLaw,
-    pub(crate) arrivals: ArrivalLaw,
+    pub(crate) sizes: SizeDistribution,
+    pub(crate) arrivals: ArrivalPattern,
     pub(crate) fault: TargetFault,
-    /// How long a cold target needs.
-    pub(crate) setup: Duration,
+    /// Warm-up time of a cold target.
+    #[serde(rename = "setup")]
+    pub(crate) warmup: Duration,
     pub(crate) deadline: Duration,
-    /// Empty: one class without an agency.
+    /// If empty, all requests are of one class without an agency.
     pub(crate) agencies: Vec<AgencyLoad>,
     pub(crate) fairness: Fairness,
-    /// Whether answers bring the gate's report.
+    /// Whether responses carry the gate's report.
     pub(crate) answer_reports: bool,
-    /// Requests to draw, warm-up included.
+    /// Mean number of arrivals, including those before the measurement.
     pub(crate) requests: usize,
     pub(crate) hot_holder: f64,
     pub(crate) seed: u64,
@@ -119,10 +121,10 @@
             load,
             ramp: 1.0,
             lag,
-            sizes: SizeLaw::Lognormal,
-            arrivals: ArrivalLaw::Poisson,
+            sizes: SizeDistribution::Lognormal,
+            arrivals: ArrivalPattern::Poisson,
             fault: TargetFault::None,
-            setup: Duration::ZERO,
+            warmup: Duration::ZERO,
             deadline: Duration::from_secs(10),
             agencies: Vec::new(),
             fairness: Fairness::PerAgency,
@@ -143,13 +145,17 @@
         self
     }
 
-    pub(crate) fn with_fault(mut self, fault: TargetFault, setup: Duration) -> Self {
+    pub(crate) fn with_fault(mut self, fault: TargetFault, warmup: Duration) -> Self {
         self.fault = fault;
-        self.setup = setup;
+        self.warmup = warmup;
         self
     }
 
-    pub(crate) fn with_laws(mut self, sizes: SizeLaw, arrivals: ArrivalLaw) -> Self {
+    pub(crate) fn with_load_shape(
+        mut self,
+        sizes: SizeDistribution,
+        arrivals: ArrivalPattern,
+    ) -> Self {
         self.sizes = sizes;
         self.arrivals = arrivals;
         self
@@ -166,12 +172,12 @@
         self
     }
 
-    /// Arrivals a second before ramp and rush.
+    /// Returns the arrivals per second before ramp and rush.
     pub(crate) fn rate(&self) -> f64 {
         self.load * self.deployment.capacity() / self.sizes.mean_factor()
     }
 
-    /// Seconds that the run lasts at its mean rate.
+    /// Returns the length of the run in seconds.
     pub(crate) fn length(&self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let requests = self.requests as f64;
--- a/standins/experiments/src/world.rs
+++ b/standins/experiments/src/simulation.rs
@@ -1,15 +1,16 @@
-//! One run: agents with the shipped gates and placements, fake servers, callers and network.
+//! Simulates one run: agents with the shipped gates and placements, and simulated servers, callers
+//! and network.
 //!
 //! ```text
-//!   arrivals --> holder: placement.choose --> own gate ------------> fake server
+//!   arrivals --> holder: placement.choose --> local gate ----------> fake server
 //!                   ^        |                                          |
 //!                   |        +-- one way --> peer's gate --> fake server|
-//!                   +-- answer, refusal (with the gate's report) <------+
+//!                   +-- response, refusal (with the gate's report) <----+
 //! ```
 
 mod agent;
-mod callers;
-mod reports;
+mod arrivals;
+mod heartbeats;
 mod servers;
 
 use std::collections::HashMap;
@@ -25,12 +26,15 @@
 use rand::{Rng, SeedableRng};
 use smallvec::SmallVec;
 
-use self::agent::{LOCAL_WAY, SimAgent, ZONE_WAY, address_of, index_of, new_agent, shown_report};
-use crate::event::{Event, EventList};
+use self::agent::{
+    CROSS_ZONE_DELAY, SAME_ZONE_DELAY, SimAgent, agent_address, agent_index, new_agent,
+    visible_report,
+};
+use crate::event::{EventQueue, SimEvent};
+use crate::metrics::{RunMetrics, RunResult};
 use crate::scenario::{Fairness, Scenario, TargetFault};
-use crate::tally::{RunResult, RunTally};
 
-/// The first part of each run that is not measured.
+/// Share of a run that passes before the measurement starts.
 const WARM_UP_SHARE: f64 = 0.1;
 
 struct SimRequest {
@@ -49,35 +53,35 @@
     started_at: Moment,
 }
 
-pub(crate) struct World<P> {
+pub(crate) struct PolicySimulation<P> {
     scenario: Scenario,
     agencies: Vec<AgencyName>,
     agents: Vec<SimAgent<P>>,
     attempts: HashMap<AttemptId, SimAttempt>,
     next_attempt: u128,
-    events: EventList,
+    events: EventQueue,
     random: StdRng,
-    tally: RunTally,
+    metrics: RunMetrics,
     now: Moment,
-    half_time: Moment,
+    halfway: Moment,
 }
 
-/// Runs a scenario with the placement that `make` makes for each agent.
+/// Runs a scenario with the placement that `make` creates for each agent.
 pub(crate) fn run<P: PlacementPolicy>(
     scenario: &Scenario,
     policy: &'static str,
     make: impl Fn(PlacementSettings) -> P,
 ) -> RunResult {
-    let mut world = World::new(scenario.clone(), make);
-    world.run();
-    world.tally.finish(scenario, policy)
+    let mut simulation = PolicySimulation::new(scenario.clone(), make);
+    simulation.run();
+    simulation.metrics.finish(scenario, policy)
 }
 
 fn moment(seconds: f64) -> Moment {
     Moment::ZERO + Duration::from_secs_f64(seconds)
 }
 
-impl<P: PlacementPolicy> World<P> {
+impl<P: PlacementPolicy> PolicySimulation<P> {
     fn new(scenario: Scenario, make: impl Fn(PlacementSettings) -> P) -> Self {
         let length = scenario.length();
         let agents = (0..scenario.deployment.targets)
@@ -99,31 +103,31 @@
             length * WARM_UP_SHARE
         };
         Self {
-            tally: RunTally::new(&scenario, moment(measured_from), moment(length)),
+            metrics: RunMetrics::new(&scenario, moment(measured_from), moment(length)),
             random: StdRng::seed_from_u64(scenario.seed),
-            half_time: moment(length / 2.0),
+            halfway: moment(length / 2.0),
             scenario,
             agencies,
             agents,
             attempts: HashMap::new(),
             next_attempt: 0,
-            events: EventList::default(),
+            events: EventQueue::default(),
             now: Moment::ZERO,
         }
     }
 
     fn run(&mut self) {
-        self.events.push(Moment::ZERO, Event::Arrival);
+        self.events.push(Moment::ZERO, SimEvent::Arrival);
         for gate in 0..self.agents.len() {
             let phase = self.report_interval().mul_f64(self.random.random::<f64>());
             self.events
-                .push(Moment::ZERO + phase, Event::Sample { gate });
+                .push(Moment::ZERO + phase, SimEvent::LoadSample { gate });
         }
         match self.scenario.fault {
-            TargetFault::Leaving => self.events.push(self.half_time, Event::Leave),
+            TargetFault::Leaving => self.events.push(self.halfway, SimEvent::Leave),
             TargetFault::Cold => self
                 .events
-                .push(Moment::ZERO, Event::Condition { cold: true }),
+                .push(Moment::ZERO, SimEvent::ConditionChange { cold: true }),
             _ => {}
         }
         while let Some((at, event)) = self.events.pop() {
@@ -132,27 +136,27 @@
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle(&mut self, event: SimEvent) {
         match event {
-            Event::Arrival => self.arrive(),
-            Event::Reach { attempt, gate } => self.reach(attempt, gate),
-            Event::End { attempt, gate } => self.end(attempt, gate),
-            Event::Wake { gate } => self.wake(gate),
-            Event::Answer {
+            SimEvent::Arrival => self.handle_arrival(),
+            SimEvent::GateArrival { attempt, gate } => self.reach_gate(attempt, gate),
+            SimEvent::ServiceEnd { attempt, gate } => self.end_service(attempt, gate),
+            SimEvent::Wakeup { gate } => self.wake_gate(gate),
+            SimEvent::Response {
                 attempt,
                 gate,
                 report,
-            } => self.answer(attempt, gate, report),
-            Event::Refusal {
+            } => self.handle_response(attempt, gate, report),
+            SimEvent::Refusal {
                 attempt,
                 gate,
                 reason,
                 retry_after,
-            } => self.refusal(attempt, gate, reason, retry_after),
-            Event::Sample { gate } => self.sample(gate),
-            Event::Report { gate, report } => self.spread(gate, report),
-            Event::Condition { cold } => self.change_condition(cold),
-            Event::Leave => {
+            } => self.handle_refusal(attempt, gate, reason, retry_after),
+            SimEvent::LoadSample { gate } => self.sample_load(gate),
+            SimEvent::LoadReport { gate, report } => self.deliver_report(gate, report),
+            SimEvent::ConditionChange { cold } => self.change_condition(cold),
+            SimEvent::Leave => {
                 let actions = self.agents[0]
                     .gate
                     .set_condition(GateCondition::Leaving, self.now);
@@ -161,23 +165,23 @@
         }
     }
 
-    fn agency_of(&self, class: usize) -> Option<AgencyName> {
+    fn agency_for(&self, class: usize) -> Option<AgencyName> {
         let is_fair = self.scenario.fairness == Fairness::PerAgency;
         self.agencies.get(class).filter(|_| is_fair).cloned()
     }
 
     fn is_over(&self) -> bool {
-        self.now >= self.tally.until
+        self.now >= self.metrics.measured_until
     }
 
     fn place(&mut self, request: SimRequest) {
         let agent = &mut self.agents[request.holder];
-        let own = shown_report(&agent.gate, request.holder, self.scenario.fault, self.now);
+        let local = visible_report(&agent.gate, request.holder, self.scenario.fault, self.now);
         let time_left = request.deadline.since(self.now);
         let choice =
             agent
                 .placement
-                .choose(&own, &agent.peers, &request.tried, time_left, self.now);
+                .choose(&local, &agent.peers, &request.tried, time_left, self.now);
         match choice {
             PlacementChoice::Own => self.send(request, None),
             PlacementChoice::Peer(peer) => self.send(request, Some(peer)),
@@ -188,10 +192,10 @@
     fn send(&mut self, request: SimRequest, peer: Option<AgentAddress>) {
         self.next_attempt += 1;
         let attempt = AttemptId(self.next_attempt);
-        self.tally.attempts += u64::from(request.counted);
+        self.metrics.attempts += u64::from(request.counted);
         let holder = request.holder;
-        let gate = peer.map_or(holder, index_of);
-        let at = self.now + self.way(holder, gate);
+        let gate = peer.map_or(holder, agent_index);
+        let at = self.now + self.one_way_delay(holder, gate);
         if let Some(peer) = peer {
             self.agents[holder].placement.record_sent(peer, self.now);
         }
@@ -202,35 +206,36 @@
         };
         self.attempts.insert(attempt, entry);
         if gate == holder {
-            self.reach(attempt, gate);
+            self.reach_gate(attempt, gate);
         } else {
-            self.events.push(at, Event::Reach { attempt, gate });
+            self.events
+                .push(at, SimEvent::GateArrival { attempt, gate });
         }
     }
 
-    fn reach(&mut self, attempt: AttemptId, gate: usize) {
+    fn reach_gate(&mut self, attempt: AttemptId, gate: usize) {
         let Some(entry) = self.attempts.get(&attempt) else {
             return;
         };
         let request = GateRequest {
             attempt,
-            agency: self.agency_of(entry.request.class),
+            agency: self.agency_for(entry.request.class),
             arrived: self.now,
             deadline: entry.request.deadline,
         };
         let verdict = self.agents[gate].gate.offer(request, self.now);
         match verdict {
-            GateVerdict::Start => self.start(attempt, gate),
-            GateVerdict::Queued => self.plan_wake(gate),
+            GateVerdict::Start => self.start_attempt(attempt, gate),
+            GateVerdict::Queued => self.schedule_wakeup(gate),
             GateVerdict::Refused {
                 reason,
                 retry_after,
-            } => self.refuse(attempt, gate, reason, retry_after),
+            } => self.refuse_attempt(attempt, gate, reason, retry_after),
             GateVerdict::Duplicate => {}
         }
     }
 
-    fn refuse(
+    fn refuse_attempt(
         &mut self,
         attempt: AttemptId,
         gate: usize,
@@ -240,8 +245,8 @@
         let Some(entry) = self.attempts.get(&attempt) else {
             return;
         };
-        let at = self.now + self.way(entry.request.holder, gate);
-        let refusal = Event::Refusal {
+        let at = self.now + self.one_way_delay(entry.request.holder, gate);
+        let refusal = SimEvent::Refusal {
             attempt,
             gate,
             reason,
@@ -250,24 +255,24 @@
         self.events.push(at, refusal);
     }
 
-    fn answer(&mut self, attempt: AttemptId, gate: usize, report: GateReport) {
+    fn handle_response(&mut self, attempt: AttemptId, gate: usize, report: GateReport) {
         let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
         let response_time = self.now.since(entry.sent_at);
-        let end = ExchangeOutcome::Answered {
+        let outcome = ExchangeOutcome::Answered {
             response_time,
             report: Some(report).filter(|_| self.scenario.answer_reports),
         };
-        self.note_exchange(entry.request.holder, gate, end);
+        self.record_exchange(entry.request.holder, gate, outcome);
         let request = entry.request;
         if request.counted {
-            self.tally
-                .note_done(request.class, request.arrived, request.deadline, self.now);
+            self.metrics
+                .record_done(request.class, request.arrived, request.deadline, self.now);
         }
     }
 
-    fn refusal(
+    fn handle_refusal(
         &mut self,
         attempt: AttemptId,
         gate: usize,
@@ -277,15 +282,15 @@
         let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
-        let end = ExchangeOutcome::Refused {
+        let outcome = ExchangeOutcome::Refused {
             reason,
             retry_after,
         };
         let mut request = entry.request;
-        self.note_exchange(request.holder, gate, end);
-        request.tried.push(address_of(gate));
+        self.record_exchange(request.holder, gate, outcome);
+        request.tried.push(agent_address(gate));
         let in_time = request.deadline > self.now;
-        let agency = self.agency_of(request.class);
+        let agency = self.agency_for(request.class);
         let budgets = &mut self.agents[request.holder].budgets;
         if in_time && budgets.try_spend(agency.as_ref(), self.now) {
             self.place(request);
@@ -294,29 +299,29 @@
         }
     }
 
-    fn note_exchange(&mut self, holder: usize, gate: usize, end: ExchangeOutcome) {
+    fn record_exchange(&mut self, holder: usize, gate: usize, outcome: ExchangeOutcome) {
         if gate == holder {
             return;
         }
         let placement = &mut self.agents[holder].placement;
-        placement.record_ended(address_of(gate), self.now);
-        placement.record_outcome(address_of(gate), end, self.now);
+        placement.record_ended(agent_address(gate), self.now);
+        placement.record_outcome(agent_address(gate), outcome, self.now);
     }
 
     fn give_up(&mut self, request: &SimRequest) {
         if request.counted {
-            self.tally.classes[request.class].refused += 1;
+            self.metrics.classes[request.class].refused += 1;
         }
     }
 
-    fn way(&self, from: usize, to: usize) -> Duration {
+    fn one_way_delay(&self, from: usize, to: usize) -> Duration {
         if from == to {
             return Duration::ZERO;
         }
         if self.agents[from].zone == self.agents[to].zone {
-            LOCAL_WAY
+            SAME_ZONE_DELAY
         } else {
-            ZONE_WAY
+            CROSS_ZONE_DELAY
         }
     }
 }
--- a/standins/experiments/src/world/agent.rs
+++ b/standins/experiments/src/simulation/agent.rs
@@ -1,4 +1,4 @@
-//! One agent with its gate and placement.
+//! A simulated agent with its gate, placement and retry budgets.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -10,9 +10,11 @@
 
 use crate::scenario::{MEAN_SIZE, Scenario, TargetFault};
 
-/// One way within a zone and between zones.
-pub(super) const LOCAL_WAY: Duration = Duration::from_micros(250);
-pub(super) const ZONE_WAY: Duration = Duration::from_micros(1_500);
+/// One-way network delay within a zone.
+pub(super) const SAME_ZONE_DELAY: Duration = Duration::from_micros(250);
+
+/// One-way network delay between zones.
+pub(super) const CROSS_ZONE_DELAY: Duration = Duration::from_micros(1_500);
 
 pub(super) struct SimAgent<P> {
     pub(super) zone: ZoneName,
@@ -23,12 +25,12 @@
     pub(super) wake_at: Option<Moment>,
 }
 
-pub(super) fn address_of(index: usize) -> AgentAddress {
+pub(super) fn agent_address(index: usize) -> AgentAddress {
     let [high, low] = u16::try_from(index).unwrap_or(u16::MAX).to_be_bytes();
     AgentAddress(SocketAddrV4::new(Ipv4Addr::new(127, 9, high, low), 7_000))
 }
 
-pub(super) fn index_of(address: AgentAddress) -> usize {
+pub(super) fn agent_index(address: AgentAddress) -> usize {
     let [_, _, high, low] = address.0.ip().octets();
     usize::from(u16::from_be_bytes([high, low]))
 }
@@ -38,14 +40,16 @@
     scenario: &Scenario,
     make: impl Fn(PlacementSettings) -> P,
 ) -> SimAgent<P> {
-    let address = address_of(index);
-    let zone = zone_of(index, scenario);
-    let members: Vec<AgentAddress> = (0..scenario.deployment.targets).map(address_of).collect();
+    let address = agent_address(index);
+    let zone = agent_zone(index, scenario);
+    let members: Vec<AgentAddress> = (0..scenario.deployment.targets)
+        .map(agent_address)
+        .collect();
     let peers = peer_subset(address, &members)
         .into_iter()
         .map(|agent| PeerReport {
             agent,
-            zone: zone_of(index_of(agent), scenario),
+            zone: agent_zone(agent_index(agent), scenario),
             report: GateReport {
                 slots: scenario.deployment.slots,
                 service_time: Duration::from_secs_f64(MEAN_SIZE),
@@ -56,7 +60,7 @@
         });
     let seed = scenario.seed.wrapping_mul(1_000_003) + index as u64;
     let settings = PlacementSettings::new(address, zone.clone())
-        .with_rtts(LOCAL_WAY * 2, ZONE_WAY * 2)
+        .with_rtts(SAME_ZONE_DELAY * 2, CROSS_ZONE_DELAY * 2)
         .with_seed(seed);
     SimAgent {
         zone,
@@ -68,15 +72,16 @@
     }
 }
 
-pub(super) fn zone_of(index: usize, scenario: &Scenario) -> ZoneName {
+pub(super) fn agent_zone(index: usize, scenario: &Scenario) -> ZoneName {
     let zone = index % scenario.deployment.zones;
     format!("zone-{zone}")
         .parse()
         .expect("zone names are valid constants")
 }
 
-/// What a gate shows of itself: the truth, unless it lies.
-pub(super) fn shown_report(
+/// Returns the report that a gate publishes: its own, or with [`TargetFault::Lying`] an idle one
+/// for target 0.
+pub(super) fn visible_report(
     gate: &RequestGate,
     index: usize,
     fault: TargetFault,
--- a/standins/experiments/src/world/callers.rs
+++ b/standins/experiments/src/simulation/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals.
+//! Arrivals of requests, and the agents that hold their flows.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use rand::Rng;
 use smallvec::SmallVec;
 
-use super::{SimRequest, World};
-use crate::event::Event;
-use crate::law::draw_gap;
+use super::{PolicySimulation, SimRequest};
+use crate::distribution::draw_interarrival;
+use crate::event::SimEvent;
 use crate::scenario::MEAN_SIZE;
 
-impl<P: PlacementPolicy> World<P> {
-    pub(super) fn arrive(&mut self) {
+impl<P: PlacementPolicy> PolicySimulation<P> {
+    pub(super) fn handle_arrival(&mut self) {
         if self.is_over() {
             return;
         }
         let (class, rate) = self.draw_class();
-        let gap = draw_gap(rate, &mut self.random);
+        let gap = draw_interarrival(rate, &mut self.random);
         self.events
-            .push(self.now + Duration::from_secs_f64(gap), Event::Arrival);
+            .push(self.now + Duration::from_secs_f64(gap), SimEvent::Arrival);
         let size = self.scenario.sizes.draw(MEAN_SIZE, &mut self.random);
         let request = SimRequest {
             holder: self.draw_holder(),
@@ -29,34 +29,40 @@
             deadline: self.now + self.scenario.deadline,
             size: Duration::from_secs_f64(size),
             tried: SmallVec::new(),
-            counted: self.tally.counts(self.now),
+            counted: self.metrics.is_measured(self.now),
         };
         if request.counted {
-            self.tally.classes[class].arrived += 1;
+            self.metrics.classes[class].arrived += 1;
         }
-        let agency = self.agency_of(class);
+        let agency = self.agency_for(class);
         self.agents[request.holder]
             .budgets
             .record_request(agency.as_ref(), self.now);
         self.place(request);
     }
 
-    /// The class of this arrival and the rate of all arrivals now.
+    /// Draws the class of this arrival; also returns the current rate of all arrivals.
     pub(super) fn draw_class(&mut self) -> (usize, f64) {
         let seconds = self.now.since(Moment::ZERO).as_secs_f64();
-        let late = self.now >= self.half_time;
-        let ramp = if late { self.scenario.ramp } else { 1.0 };
+        let is_second_half = self.now >= self.halfway;
+        let ramp = if is_second_half {
+            self.scenario.ramp
+        } else {
+            1.0
+        };
         let factor = ramp * self.scenario.arrivals.factor(seconds);
         if self.scenario.agencies.is_empty() {
             return (0, self.scenario.rate() * factor);
         }
-        let warm = self.now >= self.tally.warm_from;
+        let is_measured = self.now >= self.metrics.measured_from;
         let capacity = self.scenario.deployment.capacity() / self.scenario.sizes.mean_factor();
         let rates: Vec<f64> = self
             .scenario
             .agencies
             .iter()
-            .map(|agency| agency.load * if warm { agency.rush } else { 1.0 } * capacity * factor)
+            .map(|agency| {
+                agency.load * if is_measured { agency.rush } else { 1.0 } * capacity * factor
+            })
             .collect();
         let total: f64 = rates.iter().sum();
         let mut drawn = self.random.random::<f64>() * total;
@@ -69,7 +75,8 @@
         (0, total)
     }
 
-    /// Agent 1 is the hot one, so that a fault of target 0 is not mixed with it.
+    /// Draws the agent that holds the flow of a request. Agent 1 gets the extra flows, so that its
+    /// load is not confused with the fault of target 0.
     pub(super) fn draw_holder(&mut self) -> usize {
         let targets = self.agents.len();
         #[allow(clippy::cast_precision_loss)]
--- a/standins/experiments/tests/all/compare.rs
+++ b/standins/experiments/tests/all/compare.rs
@@ -1,19 +1,19 @@
-//! Comparing two builds by reports of the same days.
+//! Tests of `compare`, which compares two builds by their reports of the same days.
 
 use std::fs;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A folder of reports that is removed in the end.
-struct ReportFolder {
+/// A temporary directory of reports, removed on drop.
+struct ReportDirectory {
     path: PathBuf,
 }
 
-impl ReportFolder {
+impl ReportDirectory {
     fn new(name: &str) -> Self {
         let name = format!("lovagelatch-compare-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the directory can be created");
         Self { path }
     }
 
@@ -22,7 +22,8 @@
             r#"{{"G":{worth},"failed":0.01,"refused":0.0,"breaks":{{{breaks}}},
             "all":{{"n":1000,"late":20,"p99_ms":80.5}},"prices":[["machine-seconds",10.0,0.02]]}}"#
         );
-        fs::write(self.path.join(format!("{day}.{label}.json")), text).expect("a file");
+        fs::write(self.path.join(format!("{day}.{label}.json")), text)
+            .expect("the file can be written");
     }
 
     fn compare(&self) -> Output {
@@ -33,11 +34,11 @@
             .arg(&self.path)
             .args(["old", "new"])
             .output()
-            .expect("the command runs")
+            .expect("the command starts")
     }
 }
 
-impl Drop for ReportFolder {
+impl Drop for ReportDirectory {
     fn drop(&mut self) {
         let _removed = fs::remove_dir_all(&self.path);
     }
@@ -45,75 +46,79 @@
 
 struct VerdictCase {
     name: &'static str,
-    /// What each day gains.
-    gains: &'static [f64],
+    /// Change of worth on each day.
+    changes: &'static [f64],
     verdict: &'static str,
 }
 
 #[test]
-fn a_difference_is_one_only_beyond_chance() {
+fn differences_within_chance_are_not_reported() {
     let cases = [
         VerdictCase {
             name: "the same",
-            gains: &[0.0, 0.0, 0.0, 0.0],
+            changes: &[0.0, 0.0, 0.0, 0.0],
             verdict: "no difference",
         },
         VerdictCase {
             name: "noise",
-            gains: &[0.01, -0.012, 0.004, -0.003, 0.0],
+            changes: &[0.01, -0.012, 0.004, -0.003, 0.0],
             verdict: "no difference",
         },
         VerdictCase {
             name: "better",
-            gains: &[0.01, 0.02, 0.015, 0.008],
+            changes: &[0.01, 0.02, 0.015, 0.008],
             verdict: "more",
         },
         VerdictCase {
             name: "worse",
-            gains: &[-0.01, -0.02, -0.015],
+            changes: &[-0.01, -0.02, -0.015],
             verdict: "less",
         },
         VerdictCase {
             name: "two days",
-            gains: &[0.1, 0.1],
+            changes: &[0.1, 0.1],
             verdict: "too few days",
         },
     ];
     for case in cases {
-        let folder = ReportFolder::new(&case.name.replace(' ', "-"));
-        for (number, gain) in case.gains.iter().enumerate() {
+        let directory = ReportDirectory::new(&case.name.replace(' ', "-"));
+        for (number, change) in case.changes.iter().enumerate() {
             let day = format!("site+day+{number}");
-            folder.write(&day, "old", 0.9, "");
-            folder.write(&day, "new", 0.9 + gain, "");
+            directory.write(&day, "old", 0.9, "");
+            directory.write(&day, "new", 0.9 + change, "");
         }
-        let output = folder.compare();
-        let said = String::from_utf8_lossy(&output.stdout);
-        assert!(output.status.success(), "{}: {said}", case.name);
-        let worth = said.lines().find(|line| line.contains("worth"));
+        let output = directory.compare();
+        let stdout = String::from_utf8_lossy(&output.stdout);
+        assert!(output.status.success(), "{}: {stdout}", case.name);
+        let worth = stdout.lines().find(|line| line.contains("worth"));
         let worth = worth.unwrap_or_default();
-        assert!(worth.contains(case.verdict), "{}: {said}", case.name);
-        let drawn = fs::read_to_string(folder.path.join("out/compare-old-new.svg"));
+        assert!(worth.contains(case.verdict), "{}: {stdout}", case.name);
+        let drawn = fs::read_to_string(directory.path.join("out/compare-old-new.svg"));
         assert!(drawn.is_ok_and(|svg| svg.contains("<svg")), "{}", case.name);
     }
 }
 
 #[test]
-fn what_cannot_be_compared_is_said() {
-    let folder = ReportFolder::new("faults");
+fn unpaired_and_malformed_reports_are_named() {
+    let directory = ReportDirectory::new("faults");
     let errors = |output: &Output| String::from_utf8_lossy(&output.stderr).into_owned();
-    let output = folder.compare();
+    let output = directory.compare();
     assert!(!output.status.success());
     assert!(errors(&output).contains("no day"), "{}", errors(&output));
-    folder.write("site+a+1", "old", 0.9, "");
-    folder.write("site+b+1", "old", 0.9, "");
-    folder.write("site+b+1", "new", 0.8, "\"EVAC\":7");
-    let output = folder.compare();
+    directory.write("site+a+1", "old", 0.9, "");
+    directory.write("site+b+1", "old", 0.9, "");
+    directory.write("site+b+1", "new", 0.8, "\"EVAC\":7");
+    let output = directory.compare();
     assert!(output.status.success());
     assert!(errors(&output).contains("site+a+1"), "{}", errors(&output));
-    let said = String::from_utf8_lossy(&output.stdout);
-    assert!(said.contains("EVAC"), "{said}");
-    fs::write(folder.path.join("site+b+1.new.json"), "{}").expect("a file");
-    let output = folder.compare();
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    assert!(stdout.contains("EVAC"), "{stdout}");
+    fs::write(directory.path.join("site+b+1.new.json"), "{}").expect("the file can be written");
+    let output = directory.compare();
     assert!(!output.status.success());
-    assert!(errors(&output).contains("no report"), "{}", errors(&output));
+    assert!(
+        errors(&output).contains("cannot parse report"),
+        "{}",
+        errors(&output)
+    );
 }
--- a/standins/experiments/tests/all/main.rs
+++ b/standins/experiments/tests/all/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the experiments' command.
+//! Tests of the `lovagelatch-experiments` command.
 
 mod compare;
