--- a/standins/local/src/binaries.rs
+++ b/standins/local/src/binaries.rs
@@ -1,11 +1,11 @@
-//! The programs of a deployment: built before the run, found beside the launcher.
+//! Builds and locates the programs of a deployment, which are in the directory of the launcher.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 use crate::error::LocalError;
 
-/// The packages whose programs a deployment runs.
+/// Packages whose programs a deployment runs.
 const PACKAGES: [&str; 6] = [
     "lovagelatch-balancer",
     "lovagelatch-agent",
@@ -15,19 +15,19 @@
     "lovagelatch-callers",
 ];
 
-/// Where the programs are.
+/// The directory of the programs.
 #[derive(Clone, Debug)]
 pub(crate) struct ProgramDirectory(PathBuf);
 
 impl ProgramDirectory {
-    /// The launcher's own directory; when cargo runs the launcher, it first brings the
-    /// programs there up to date.
+    /// Returns the directory of the launcher's executable. If cargo runs the launcher and `build`
+    /// is set, builds the programs there first.
     pub(crate) fn prepare(build: bool) -> Result<Self, LocalError> {
-        let own = std::env::current_exe().map_err(|error| LocalError::File {
+        let executable = std::env::current_exe().map_err(|error| LocalError::File {
             path: PathBuf::from("/proc/self/exe"),
             error,
         })?;
-        let directory = own.parent().unwrap_or(Path::new("/")).to_owned();
+        let directory = executable.parent().unwrap_or(Path::new("/")).to_owned();
         let cargo = std::env::var_os("CARGO");
         let manifest = std::env::var_os("CARGO_MANIFEST_DIR");
         if let (true, Some(cargo), Some(manifest)) = (build, cargo, manifest) {
@@ -36,7 +36,7 @@
         Ok(Self(directory))
     }
 
-    /// The path of a program.
+    /// Returns the path of a program.
     pub(crate) fn program(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
--- a/standins/local/src/caller_plan.rs
+++ b/standins/local/src/caller_plan.rs
@@ -1,4 +1,4 @@
-//! What callers need to know of a deployment.
+//! The plan of the callers, and the endpoints for other tools.
 
 use lovagelatch_callers::{AddressPlan, CallerPlan, ServicePlan};
 use serde_json::json;
@@ -8,11 +8,11 @@
 use crate::options::LocalOptions;
 use crate::rig::LocalRig;
 
-/// How long a caller waits for an answer, in milliseconds.
+/// Deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 8_000;
 
-/// The line that tells other tools where the services are.
-pub(crate) fn hold_line(rig: &LocalRig) -> serde_json::Value {
+/// Returns the endpoints of services and platform, printed for other tools with `--hold`.
+pub(crate) fn endpoints_json(rig: &LocalRig) -> serde_json::Value {
     let services: Vec<_> = rig
         .addresses
         .iter()
@@ -29,11 +29,11 @@
     json!({ "services": services, "platform": rig.platform_address.to_string() })
 }
 
-/// The plan of the callers that run against a deployment.
+/// Returns the plan of the callers that run against a deployment.
 pub(crate) fn caller_plan(rig: &LocalRig, options: &LocalOptions) -> CallerPlan {
     let deployment = &rig.deployment;
     let services = deployment.services.iter().map(|service| {
-        let own = rig
+        let addresses = rig
             .addresses
             .iter()
             .filter(|entry| entry.service == service.name);
@@ -41,7 +41,7 @@
             name: service.name.to_owned(),
             server_name: server_name(service.name),
             ca: rig.credentials.authority.clone(),
-            addresses: own
+            addresses: addresses
                 .enumerate()
                 .map(|(position, entry)| AddressPlan {
                     address: entry.address,
--- a/standins/local/src/fleet_files.rs
+++ b/standins/local/src/config_files.rs
@@ -1,4 +1,4 @@
-//! The files that the system's processes and its operators write: settings and service text.
+//! Generates the settings of processes and the service text.
 
 use std::fmt::Write;
 use std::net::SocketAddrV4;
@@ -7,10 +7,10 @@
 use crate::credentials::ServiceCertificate;
 use crate::deployment::Deployment;
 
-/// How long a planned stop may wait: longer than any run, so that feeds are never cut.
+/// Drain timeout of a planned stop: longer than any run, so that feeds are never cut.
 const DRAIN_MS: u64 = 3_600_000;
 
-/// What every process's settings say.
+/// Settings common to all processes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CommonFields<'a> {
     pub(crate) name: &'a str,
@@ -45,13 +45,13 @@
     }
 }
 
-/// The settings of a balancer.
+/// Returns the settings of a balancer.
 pub(crate) fn balancer_settings(common: CommonFields<'_>, listen: SocketAddrV4) -> String {
     let common = common.to_text();
     format!("{common}[balancer]\ningress = proxy-v2\nlisten = {listen}\n")
 }
 
-/// What an agent's settings say besides.
+/// Additional settings of an agent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AgentFields<'a> {
     pub(crate) service: &'a str,
@@ -61,7 +61,7 @@
     pub(crate) slots: u16,
 }
 
-/// The settings of an agent.
+/// Returns the settings of an agent.
 pub(crate) fn agent_settings(common: CommonFields<'_>, agent: AgentFields<'_>) -> String {
     let AgentFields {
         service,
@@ -80,7 +80,7 @@
     )
 }
 
-/// An address that callers use.
+/// An address of a service that callers use.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallerAddress {
     pub(crate) service: &'static str,
@@ -88,7 +88,7 @@
     pub(crate) address: SocketAddrV4,
 }
 
-/// The service text; `change` makes each text differ from the one before.
+/// Returns the service text. `change` is written as a comment, so that each text differs.
 pub(crate) fn service_text(
     deployment: &Deployment,
     addresses: &[CallerAddress],
@@ -96,7 +96,7 @@
 ) -> String {
     let mut text = format!("; change {change}\n");
     for service in &deployment.services {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "[service {}]", service.name);
         for entry in addresses
             .iter()
--- a/standins/local/src/credentials.rs
+++ b/standins/local/src/credentials.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates of a run.
+//! Generates the keys and certificates of a run.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -19,7 +19,7 @@
     pub(crate) key: PathBuf,
 }
 
-/// All keys and certificates of a run.
+/// Paths of the keys and certificates of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct RunCredentials {
     pub(crate) fleet_keys: PathBuf,
@@ -27,13 +27,13 @@
     pub(crate) services: HashMap<&'static str, ServiceCertificate>,
 }
 
-/// The name in a service's certificate.
+/// Returns the server name in a service's certificate.
 pub(crate) fn server_name(service: &str) -> String {
     format!("{service}.test")
 }
 
-/// The authority's name. Services have other ones: a client that looks for an issuer by its name
-/// would otherwise take each service's certificate for one that signed itself.
+/// Distinguished name of the certificate authority. It must differ from those of the services: a
+/// client that looks up issuers by name would otherwise take their certificates for self-signed.
 const AUTHORITY_NAME: &str = "lovagelatch-local authority";
 
 fn common_name(name: &str) -> DistinguishedName {
--- a/standins/local/src/deployment.rs
+++ b/standins/local/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments, at the sizes of their users.
+//! The deployments of the two users, at their sizes.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 /// Mean time that a request holds a slot, in milliseconds.
 pub(crate) const MEAN_WORK_MS: f64 = 60.0;
 
-/// The share of all slots that callers keep busy when no rate is given.
-const DEFAULT_BUSY_SHARE: f64 = 0.35;
+/// Share of all slots that callers keep in use if no rate is given.
+const DEFAULT_UTILIZATION: f64 = 0.35;
 
-/// Which deployment.
+/// Name of a deployment on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeploymentName {
     Indus,
     Desai,
 }
 
-/// A deployment that does not exist.
+/// The error for an unknown name of a deployment.
 #[derive(Debug, Error)]
-#[error("unknown deployment {0:?}; known are indus, desai")]
+#[error("unknown deployment {0:?}; known deployments: indus, desai")]
 pub(crate) struct UnknownDeployment(String);
 
 impl FromStr for DeploymentName {
@@ -40,7 +40,7 @@
 pub(crate) struct DeploymentService {
     pub(crate) name: &'static str,
     pub(crate) targets: usize,
-    /// An address for each, belonging to an agency or to none.
+    /// One address per entry, which belongs to an agency or to none.
     pub(crate) agencies: &'static [Option<&'static str>],
     pub(crate) depends: Option<&'static str>,
     pub(crate) status: bool,
@@ -49,7 +49,7 @@
     pub(crate) feed: bool,
 }
 
-/// A deployment.
+/// The sizes, delays and services of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deployment {
     pub(crate) name: &'static str,
@@ -131,14 +131,14 @@
         }
     }
 
-    /// Requests a second that keep the usual share of slots busy.
+    /// Returns the requests per second that keep [`DEFAULT_UTILIZATION`] of all slots in use.
     pub(crate) fn default_rate(&self) -> f64 {
         let targets: usize = self.services.iter().map(|service| service.targets).sum();
         let slots = targets as f64 * f64::from(self.slots);
-        slots * DEFAULT_BUSY_SHARE * 1_000.0 / MEAN_WORK_MS
+        slots * DEFAULT_UTILIZATION * 1_000.0 / MEAN_WORK_MS
     }
 
-    /// The zone of the instance with this number; they are dealt out in turn.
+    /// Returns the zone of the instance with this number. Zones are assigned round-robin.
     pub(crate) fn zone(&self, number: usize) -> &'static str {
         self.zones[number % self.zones.len()]
     }
--- a/standins/local/src/directory.rs
+++ b/standins/local/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of a run: settings, keys, certificates, logs and histories.
+//! The temporary directory of a run: settings, keys, certificates, logs and histories.
 
 use std::fs;
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt};
@@ -6,17 +6,17 @@
 
 use crate::error::LocalError;
 
-/// A directory that is removed with this value, unless it is kept.
+/// The directory of a run, removed on drop unless [`Self::keep`] was called.
 #[derive(Debug)]
 pub(crate) struct RunDirectory {
     path: PathBuf,
-    /// Where logs and histories go.
+    /// Directory of logs and histories.
     pub(crate) logs: PathBuf,
     keep: bool,
 }
 
 impl RunDirectory {
-    /// Creates the directory; logs go to `logs` when that is given.
+    /// Creates the directory. Logs go to `logs` if it is given, else to a subdirectory.
     pub(crate) fn create(logs: Option<&Path>) -> Result<Self, LocalError> {
         let random: u64 = rand::random();
         let path = std::env::temp_dir().join(format!("lovagelatch-{random:016x}"));
@@ -38,7 +38,7 @@
         self.keep = true;
     }
 
-    /// Writes a file that only its owner may read.
+    /// Writes a file that only its owner can read.
     pub(crate) fn write(&self, name: &str, text: &str) -> Result<PathBuf, LocalError> {
         let path = self.path.join(name);
         let mut options = fs::OpenOptions::new();
@@ -57,7 +57,7 @@
             return;
         }
         if let Err(error) = fs::remove_dir_all(&self.path) {
-            eprintln!("{} not removed: {error}", self.path.display());
+            eprintln!("cannot remove {}: {error}", self.path.display());
         }
     }
 }
--- a/standins/local/src/error.rs
+++ b/standins/local/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a run itself.
+//! Errors of the launcher itself, as opposed to failures of the system under test.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,38 +6,38 @@
 use lovagelatch_history::HistoryError;
 use thiserror::Error;
 
-/// Why a small HTTP request failed.
+/// Why an HTTP request to a process failed.
 #[derive(Debug, Error)]
-pub(crate) enum HttpFailure {
-    #[error("no answer in time")]
+pub(crate) enum HttpRequestError {
+    #[error("timed out")]
     Timeout,
-    #[error("not connected: {0}")]
+    #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
-    #[error("broke off: {0}")]
-    Broken(#[from] hyper::Error),
-    #[error("not a request: {0}")]
+    #[error("exchange failed: {0}")]
+    Exchange(#[from] hyper::Error),
+    #[error("invalid request: {0}")]
     Request(#[from] http::Error),
-    #[error("answered {status} {said}")]
+    #[error("status {status}: {body}")]
     Refused {
         status: http::StatusCode,
-        said: String,
+        body: String,
     },
 }
 
-/// Why a run could not be made.
+/// Why a run could not be started or evaluated.
 #[derive(Debug, Error)]
 pub(crate) enum LocalError {
     #[error("{path}: {error}")]
     File { path: PathBuf, error: io::Error },
-    #[error("{name} could not be started: {error}")]
+    #[error("cannot start {name}: {error}")]
     Spawn { name: String, error: io::Error },
-    #[error("{name} ended before it was ready; its log ends:\n{tail}")]
-    EndedEarly { name: String, tail: String },
-    #[error("{name} was not ready in time; its log ends:\n{tail}")]
+    #[error("{name} exited before it was ready; end of its log:\n{tail}")]
+    ExitedEarly { name: String, tail: String },
+    #[error("{name} did not become ready; end of its log:\n{tail}")]
     NotReady { name: String, tail: String },
-    #[error("the binaries could not be built: cargo ended with {0}")]
+    #[error("cannot build the binaries: cargo failed with {0}")]
     Build(std::process::ExitStatus),
-    #[error("no free port was found on {0}")]
+    #[error("no free port found on {0}")]
     NoPort(std::net::Ipv4Addr),
     #[error("certificates: {0}")]
     Certificate(#[from] rcgen::Error),
@@ -45,7 +45,7 @@
     Http {
         address: std::net::SocketAddrV4,
         path: String,
-        reason: HttpFailure,
+        reason: HttpRequestError,
     },
     #[error("JSON: {0}")]
     Json(#[from] serde_json::Error),
@@ -53,6 +53,6 @@
     History(#[from] HistoryError),
     #[error("signals: {0}")]
     Signals(io::Error),
-    #[error("ended by a signal")]
+    #[error("interrupted by a signal")]
     Interrupted,
 }
--- a/standins/local/src/fault.rs
+++ b/standins/local/src/fault.rs
@@ -1,6 +1,6 @@
-//! The faults by name.
+//! The faults that a run can inject, by name.
 
-/// A fault that can be asked for.
+/// A fault that can be given on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultName {
     KillBalancer,
@@ -24,11 +24,12 @@
     LostPackets,
 }
 
-/// A fault's name as written, and whether operators do it on purpose: then it breaks no flow.
+/// A fault with its name on the command line.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FaultEntry {
     pub(crate) name: FaultName,
     pub(crate) text: &'static str,
+    /// Whether it is a planned operation of operators, which must not break flows.
     pub(crate) planned: bool,
 }
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// All faults.
+/// All faults, in the order in which they are listed to the user.
 pub(crate) const FAULTS: [FaultEntry; 19] = [
     unplanned(FaultName::KillBalancer, "kill-balancer"),
     planned(FaultName::AddBalancer, "add-balancer"),
@@ -72,7 +73,7 @@
 ];
 
 impl FaultName {
-    /// The fault of this name.
+    /// Returns the fault with this name.
     pub(crate) fn find(text: &str) -> Option<Self> {
         let entry = FAULTS.iter().find(|entry| entry.text == text)?;
         Some(entry.name)
@@ -80,7 +81,7 @@
 
     fn entry(self) -> FaultEntry {
         let found = FAULTS.iter().find(|entry| entry.name == self);
-        *found.expect("every fault stands in the table")
+        *found.expect("every fault is in the table")
     }
 
     pub(crate) fn text(self) -> &'static str {
@@ -91,7 +92,7 @@
         self.entry().planned
     }
 
-    /// Whether it publishes configurations itself.
+    /// Whether the fault publishes configurations itself.
     pub(crate) fn is_config(self) -> bool {
         self.text().starts_with("config-")
     }
--- a/standins/local/src/script/balancers.rs
+++ b/standins/local/src/fault_script/balancers.rs
@@ -3,15 +3,16 @@
 use rand::seq::IteratorRandom;
 use tokio::time::sleep;
 
-use super::{FaultScript, NOTICE_TIME, PAUSE_TIME, STEP_TIME};
+use super::{DETECTION_DELAY, FaultScript, PAUSE_DURATION, REPLACEMENT_INTERVAL};
 use crate::error::LocalError;
 
 impl FaultScript {
-    /// The position of a balancer that packets go to.
+    /// Returns the index of a random balancer that receives packets.
     pub(super) async fn pick_balancer(&self) -> Option<usize> {
         let rig = self.rig.lock().await;
         let balancers = rig.balancers.iter().enumerate();
-        let usable = balancers.filter(|(_, one)| one.listed && !one.process.may_end);
+        let usable =
+            balancers.filter(|(_, balancer)| balancer.listed && !balancer.process.exit_expected);
         usable.map(|(index, _)| index).choose(&mut rand::rng())
     }
 
@@ -25,18 +26,18 @@
             balancer.process.kill();
             balancer.plan.name.clone()
         };
-        self.say(&format!("killed {name}"));
-        sleep(NOTICE_TIME).await;
+        self.print(&format!("killed {name}"));
+        sleep(DETECTION_DELAY).await;
         let mut rig = self.rig.lock().await;
         rig.balancers[index].listed = false;
         rig.publish_fleet().await?;
-        self.say(&format!("{name} is off the list"));
+        self.print(&format!("{name} is off the list"));
         Ok(())
     }
 
     pub(super) async fn add_balancer(&self) -> Result<(), LocalError> {
         let name = self.rig.lock().await.add_balancer().await?;
-        self.say(&format!("{name} joined"));
+        self.print(&format!("{name} joined"));
         Ok(())
     }
 
@@ -46,10 +47,10 @@
         };
         let name = self.rig.lock().await.balancers[index].plan.name.clone();
         self.signal_balancer(index, libc::SIGSTOP).await;
-        self.say(&format!("paused {name}"));
-        sleep(PAUSE_TIME).await;
+        self.print(&format!("paused {name}"));
+        sleep(PAUSE_DURATION).await;
         self.signal_balancer(index, libc::SIGCONT).await;
-        self.say(&format!("{name} goes on"));
+        self.print(&format!("{name} goes on"));
         Ok(())
     }
 
@@ -63,7 +64,7 @@
         let count = self.rig.lock().await.balancers.len();
         for index in 0..count {
             let mut rig = self.rig.lock().await;
-            if rig.balancers[index].process.may_end {
+            if rig.balancers[index].process.exit_expected {
                 continue;
             }
             let new = rig.add_balancer().await?;
@@ -72,8 +73,8 @@
             rig.balancers[index].process.terminate();
             let old = rig.balancers[index].plan.name.clone();
             drop(rig);
-            self.say(&format!("{new} in place of {old}"));
-            sleep(STEP_TIME).await;
+            self.print(&format!("{new} in place of {old}"));
+            sleep(REPLACEMENT_INTERVAL).await;
         }
         Ok(())
     }
--- a/standins/local/src/script/mod.rs
+++ b/standins/local/src/fault_script/mod.rs
@@ -1,9 +1,9 @@
-//! What each fault does.
+//! Scripts that inject the faults.
 
-mod answers;
 mod balancers;
 mod config;
 mod network;
+mod responses;
 mod targets;
 
 use std::sync::Arc;
@@ -13,30 +13,30 @@
 
 use crate::error::LocalError;
 use crate::fault::FaultName;
+use crate::output::ProgressPrinter;
 use crate::rig::LocalRig;
-use crate::summary::Narrator;
 
-/// How long a passing fault lasts.
-const FAULT_TIME: Duration = Duration::from_secs(4);
+/// Duration of a temporary fault.
+const FAULT_DURATION: Duration = Duration::from_secs(4);
 
-/// How long a process is paused.
-const PAUSE_TIME: Duration = Duration::from_secs(3);
+/// How long a process stays paused.
+const PAUSE_DURATION: Duration = Duration::from_secs(3);
 
-/// How long the platform and the fabric take to notice that an instance died.
-const NOTICE_TIME: Duration = Duration::from_secs(1);
+/// Delay after which platform and fabric detect that an instance has stopped.
+const DETECTION_DELAY: Duration = Duration::from_secs(1);
 
-/// The time between two steps of a replacement.
-const STEP_TIME: Duration = Duration::from_millis(200);
+/// Interval between two steps of a rolling replacement.
+const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Carries out a fault from its start to its end.
+/// Injects a fault and runs its script to the end.
 pub(crate) async fn run_fault(
     name: FaultName,
     rig: Arc<Mutex<LocalRig>>,
-    narrator: Narrator,
+    progress: ProgressPrinter,
 ) -> Result<(), LocalError> {
     let script = FaultScript {
         rig,
-        narrator,
+        progress,
         name,
     };
     match name {
@@ -64,12 +64,13 @@
 
 struct FaultScript {
     rig: Arc<Mutex<LocalRig>>,
-    narrator: Narrator,
+    progress: ProgressPrinter,
     name: FaultName,
 }
 
 impl FaultScript {
-    fn say(&self, text: &str) {
-        self.narrator.say(&format!("{}: {text}", self.name.text()));
+    fn print(&self, text: &str) {
+        self.progress
+            .print(&format!("{}: {text}", self.name.text()));
     }
 }
--- a/standins/local/src/script/network.rs
+++ b/standins/local/src/fault_script/network.rs
@@ -1,45 +1,45 @@
-//! Faults of the fabric.
+//! Faults of the network, injected by the fabric.
 
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use super::{FAULT_TIME, FaultScript};
+use super::{FAULT_DURATION, FaultScript};
 use crate::error::LocalError;
 
 impl FaultScript {
     pub(super) async fn partition_zone(&self) -> Result<(), LocalError> {
         let zones = self.rig.lock().await.deployment.zones;
-        let lone = zones[0];
+        let isolated = zones[0];
         let cut: Vec<[&str; 2]> = zones[1..]
             .iter()
-            .flat_map(|other| [[lone, *other], [*other, lone]])
+            .flat_map(|other| [[isolated, *other], [*other, isolated]])
             .collect();
         self.set_fabric_fault(json!({"cut_zones": cut})).await?;
-        self.say(&format!("{lone} is cut off from the other zones"));
-        sleep(FAULT_TIME).await;
+        self.print(&format!("{isolated} is cut off from the other zones"));
+        sleep(FAULT_DURATION).await;
         self.set_fabric_fault(json!({})).await?;
-        self.say(&format!("{lone} is back"));
+        self.print(&format!("{isolated} is back"));
         Ok(())
     }
 
     pub(super) async fn set_fabric_fault(&self, fault: Value) -> Result<(), LocalError> {
-        self.rig.lock().await.fault_fabric(fault).await
+        self.rig.lock().await.set_fabric_fault(fault).await
     }
 
     pub(super) async fn silent_flows(&self) -> Result<(), LocalError> {
         self.set_fabric_fault(json!({"silent_callers": true}))
             .await?;
-        self.say("all open flows are silent from now; new ones work");
+        self.print("all open flows are silent from now; new ones work");
         Ok(())
     }
 
     pub(super) async fn lost_packets(&self) -> Result<(), LocalError> {
         let fault = json!({"drop": 0.05, "duplicate": 0.02, "reorder": 0.05});
         self.set_fabric_fault(fault).await?;
-        self.say("5 % of packets are lost, 2 % come twice, 5 % out of order");
-        sleep(FAULT_TIME).await;
+        self.print("5 % of packets are lost, 2 % come twice, 5 % out of order");
+        sleep(FAULT_DURATION).await;
         self.set_fabric_fault(json!({})).await?;
-        self.say("packets pass again");
+        self.print("packets pass again");
         Ok(())
     }
 }
--- a/standins/local/src/script/answers.rs
+++ b/standins/local/src/fault_script/responses.rs
@@ -1,20 +1,23 @@
-//! Faults of what backend servers answer.
+//! Faults of the responses and reports of backend servers.
 
 use lovagelatch_backend::FaultChange;
 use tokio::time::sleep;
 
-use super::{FAULT_TIME, FaultScript};
+use super::{FAULT_DURATION, FaultScript};
 use crate::error::LocalError;
 use crate::http_client;
 
-/// How far a lagging health endpoint lags, in milliseconds.
+/// Lag of a delayed health endpoint, in milliseconds.
 const HEALTH_LAG_MS: u64 = 2_000;
 
 impl FaultScript {
-    pub(super) async fn fault_backends(&self, change: FaultChange) -> Result<(), LocalError> {
+    pub(super) async fn set_backend_faults(&self, change: FaultChange) -> Result<(), LocalError> {
         let backends: Vec<_> = {
             let rig = self.rig.lock().await;
-            let running = rig.targets.iter().filter(|target| !target.backend.may_end);
+            let running = rig
+                .targets
+                .iter()
+                .filter(|target| !target.backend.exit_expected);
             running.map(|target| target.backend_address).collect()
         };
         for backend in backends {
@@ -28,11 +31,11 @@
             crossed_answers: Some(on),
             ..FaultChange::default()
         };
-        self.fault_backends(change(true)).await?;
-        self.say("backend servers cross, delay and cut some answers");
-        sleep(FAULT_TIME).await;
-        self.fault_backends(change(false)).await?;
-        self.say("backend servers answer properly again");
+        self.set_backend_faults(change(true)).await?;
+        self.print("backend servers cross, delay and cut some answers");
+        sleep(FAULT_DURATION).await;
+        self.set_backend_faults(change(false)).await?;
+        self.print("backend servers answer properly again");
         Ok(())
     }
 
@@ -42,11 +45,11 @@
             health_lag_ms: Some(if on { HEALTH_LAG_MS } else { 0 }),
             ..FaultChange::default()
         };
-        self.fault_backends(change(true)).await?;
-        self.say("health and load of all backend servers mislead");
-        sleep(FAULT_TIME).await;
-        self.fault_backends(change(false)).await?;
-        self.say("health and load are right again");
+        self.set_backend_faults(change(true)).await?;
+        self.print("health and load of all backend servers mislead");
+        sleep(FAULT_DURATION).await;
+        self.set_backend_faults(change(false)).await?;
+        self.print("health and load are right again");
         Ok(())
     }
 }
--- a/standins/local/src/script/targets.rs
+++ b/standins/local/src/fault_script/targets.rs
@@ -1,4 +1,4 @@
-//! Faults of targets: backend servers and the agents beside them.
+//! Faults of targets: backend servers and their agents.
 
 use lovagelatch_backend::{FaultChange, HealthState};
 use lovagelatch_domain::InstanceState;
@@ -7,18 +7,18 @@
 use rand::seq::IteratorRandom;
 use tokio::time::sleep;
 
-use super::{FaultScript, NOTICE_TIME, PAUSE_TIME, STEP_TIME};
+use super::{DETECTION_DELAY, FaultScript, PAUSE_DURATION, REPLACEMENT_INTERVAL};
 use crate::error::LocalError;
 use crate::http_client;
 
-/// How long the cold start of a cold target takes, in milliseconds.
-const COLD_MS: u64 = 3_000;
+/// Warm-up time of a cold target, in milliseconds.
+const WARMUP_MS: u64 = 3_000;
 
-/// How far a lagging list lags, in milliseconds.
+/// Lag of a delayed instance list, in milliseconds.
 const LIST_LAG_MS: u64 = 30_000;
 
 impl FaultScript {
-    /// The position of a live target.
+    /// Returns the index of a random live target.
     pub(super) async fn pick_target(&self) -> Option<usize> {
         let rig = self.rig.lock().await;
         let targets = rig.targets.iter().enumerate();
@@ -26,8 +26,8 @@
         live.map(|(index, _)| index).choose(&mut rand::rng())
     }
 
-    /// The backend server says that it leaves; then the platform does.
-    pub(super) async fn tell_to_leave(&self, index: usize) -> Result<String, LocalError> {
+    /// Announces that a target leaves: first by its backend server, then in the instance list.
+    pub(super) async fn announce_leaving(&self, index: usize) -> Result<String, LocalError> {
         let mut rig = self.rig.lock().await;
         let target = &mut rig.targets[index];
         target.state = InstanceState::Leaving;
@@ -49,8 +49,8 @@
         let Some(index) = self.pick_target().await else {
             return Ok(());
         };
-        let name = self.tell_to_leave(index).await?;
-        self.say(&format!("{name} drains"));
+        let name = self.announce_leaving(index).await?;
+        self.print(&format!("{name} drains"));
         Ok(())
     }
 
@@ -66,30 +66,30 @@
                 target.plan.service
             };
             let new = self.rig.lock().await.add_target(service, 0).await?;
-            let old = self.tell_to_leave(index).await?;
+            let old = self.announce_leaving(index).await?;
             self.rig.lock().await.targets[index].agent.terminate();
-            self.say(&format!("{new} in place of {old}"));
-            sleep(STEP_TIME).await;
+            self.print(&format!("{new} in place of {old}"));
+            sleep(REPLACEMENT_INTERVAL).await;
         }
-        self.take_off_ended(count).await
+        self.delist_stopped(count).await
     }
 
-    /// Takes replaced targets whose agents have stopped off the list, with their backend
-    /// servers; those that still hold feeds stay.
-    pub(super) async fn take_off_ended(&self, count: usize) -> Result<(), LocalError> {
-        sleep(NOTICE_TIME).await;
+    /// Removes replaced targets whose agents have stopped from the instance list, and kills their
+    /// backend servers. Targets that still hold feeds stay.
+    pub(super) async fn delist_stopped(&self, count: usize) -> Result<(), LocalError> {
+        sleep(DETECTION_DELAY).await;
         let mut rig = self.rig.lock().await;
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for target in &mut rig.targets[..count] {
-            if target.agent.may_end && target.agent.exit_status().is_some() {
+            if target.agent.exit_expected && target.agent.exit_status().is_some() {
                 target.backend.kill();
                 target.listed = false;
-                gone.push(target.plan.name.clone());
+                removed.push(target.plan.name.clone());
             }
         }
         rig.publish_fleet().await?;
         drop(rig);
-        self.say(&format!("stopped and off the list: {}", gone.join(", ")));
+        self.print(&format!("stopped and off the list: {}", removed.join(", ")));
         Ok(())
     }
 
@@ -104,12 +104,12 @@
             target.backend.kill();
             target.plan.name.clone()
         };
-        self.say(&format!("killed {name} and its agent"));
-        sleep(NOTICE_TIME).await;
+        self.print(&format!("killed {name} and its agent"));
+        sleep(DETECTION_DELAY).await;
         let mut rig = self.rig.lock().await;
         rig.targets[index].listed = false;
         rig.publish_fleet().await?;
-        self.say(&format!("{name} is off the list"));
+        self.print(&format!("{name} is off the list"));
         Ok(())
     }
 
@@ -119,10 +119,10 @@
         };
         let name = self.rig.lock().await.targets[index].plan.name.clone();
         self.signal_target(index, libc::SIGSTOP).await;
-        self.say(&format!("paused {name} and its agent"));
-        sleep(PAUSE_TIME).await;
+        self.print(&format!("paused {name} and its agent"));
+        sleep(PAUSE_DURATION).await;
         self.signal_target(index, libc::SIGCONT).await;
-        self.say(&format!("{name} goes on"));
+        self.print(&format!("{name} goes on"));
         Ok(())
     }
 
@@ -135,9 +135,9 @@
     pub(super) async fn cold_target(&self) -> Result<(), LocalError> {
         let mut rig = self.rig.lock().await;
         let service = rig.deployment.services[0].name;
-        let name = rig.add_target(service, COLD_MS).await?;
+        let name = rig.add_target(service, WARMUP_MS).await?;
         drop(rig);
-        self.say(&format!("{name} joined cold, warm after {COLD_MS} ms"));
+        self.print(&format!("{name} joined cold, warm after {WARMUP_MS} ms"));
         Ok(())
     }
 
@@ -146,8 +146,8 @@
             list_lag_ms: LIST_LAG_MS,
             ..FaultSettings::default()
         };
-        self.rig.lock().await.fault_platform(fault).await?;
-        self.say(&format!("the instance list lags by {LIST_LAG_MS} ms"));
+        self.rig.lock().await.set_platform_fault(fault).await?;
+        self.print(&format!("the instance list lags by {LIST_LAG_MS} ms"));
         self.drain_target().await
     }
 }
--- a/standins/local/src/http_client.rs
+++ b/standins/local/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Small HTTP requests to stand-ins and operations addresses.
+//! HTTP requests to stand-ins and to operations addresses of processes.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,22 +11,22 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-use crate::error::{HttpFailure, LocalError};
+use crate::error::{HttpRequestError, LocalError};
 
-/// Longest that a request may take.
-const LIMIT: Duration = Duration::from_secs(3);
+/// Timeout of a request, including the connection setup.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Reads a path.
+/// Sends a GET request and returns the body.
 pub(crate) async fn get(address: SocketAddrV4, path: &str) -> Result<Bytes, LocalError> {
     exchange(address, Method::GET, path, Bytes::new()).await
 }
 
-/// Reads a path that answers JSON.
+/// Sends a GET request and parses the body as JSON.
 pub(crate) async fn get_json(address: SocketAddrV4, path: &str) -> Result<Value, LocalError> {
     Ok(serde_json::from_slice(&get(address, path).await?)?)
 }
 
-/// Puts JSON to a path and returns the answer.
+/// Sends a PUT request with a JSON body, and returns the body of the response.
 pub(crate) async fn put_json<V: Serialize>(
     address: SocketAddrV4,
     path: &str,
@@ -36,7 +36,7 @@
     exchange(address, Method::PUT, path, Bytes::from(body)).await
 }
 
-/// Puts text to a path and returns the answer.
+/// Sends a PUT request with a text body, and returns the body of the response.
 pub(crate) async fn put_text(
     address: SocketAddrV4,
     path: &str,
@@ -52,20 +52,20 @@
     path: &str,
     body: Bytes,
 ) -> Result<Bytes, LocalError> {
-    let failed = |reason: HttpFailure| LocalError::Http {
+    let failed = |reason: HttpRequestError| LocalError::Http {
         address,
         path: path.to_owned(),
         reason,
     };
-    let sent = tokio::time::timeout(LIMIT, send(address, method, path, body)).await;
+    let sent = tokio::time::timeout(REQUEST_TIMEOUT, send(address, method, path, body)).await;
     let (status, body) = sent
-        .map_err(|_| failed(HttpFailure::Timeout))?
+        .map_err(|_| failed(HttpRequestError::Timeout))?
         .map_err(failed)?;
     if status.is_success() {
         Ok(body)
     } else {
-        let said = String::from_utf8_lossy(&body).into_owned();
-        Err(failed(HttpFailure::Refused { status, said }))
+        let body = String::from_utf8_lossy(&body).into_owned();
+        Err(failed(HttpRequestError::Refused { status, body }))
     }
 }
 
@@ -74,7 +74,7 @@
     method: Method,
     path: &str,
     body: Bytes,
-) -> Result<(StatusCode, Bytes), HttpFailure> {
+) -> Result<(StatusCode, Bytes), HttpRequestError> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
@@ -85,9 +85,9 @@
         .header("host", address.to_string())
         .header("content-type", "application/json")
         .body(Full::new(body))?;
-    let answer = sender.send_request(request).await?;
-    let status = answer.status();
-    let body = answer.into_body().collect().await?.to_bytes();
+    let response = sender.send_request(request).await?;
+    let status = response.status();
+    let body = response.into_body().collect().await?.to_bytes();
     driver.abort();
     Ok((status, body))
 }
--- a/standins/local/src/main.rs
+++ b/standins/local/src/main.rs
@@ -1,8 +1,8 @@
-//! Starts a whole deployment on this machine, runs callers against it, and judges the run.
+//! Runs a local deployment with callers and faults, and checks the results.
 //!
-//! It is a test tool outside the system: it starts every process, plays the operator and the
-//! platform, injects faults, and at the end reads the histories that callers and backend
-//! servers wrote.
+//! This is a test tool, not a part of the system. It starts every process, acts as operator and
+//! platform, injects faults, and at the end checks the histories that callers and backend servers
+//! wrote.
 //!
 //! ```text
 //!            platform        fabric
@@ -14,30 +14,30 @@
 
 mod binaries;
 mod caller_plan;
-mod config_watch;
+mod config_files;
+mod config_propagation;
 mod credentials;
 mod deployment;
 mod directory;
 mod error;
 mod fault;
-mod fleet_files;
+mod fault_script;
 mod http_client;
 mod options;
+mod output;
 mod ports;
 mod process;
 mod publish;
 mod rig;
 mod run;
-mod script;
+mod shutdown;
 mod spawn;
-mod stop;
-mod summary;
 mod target;
 
 use std::process::ExitCode;
 
-/// Exit code of a run that broke something, or could not be made.
-const BROKEN: u8 = 1;
+/// Exit code of a run with failures, or of one that could not be started.
+const FAILED_RUN: u8 = 1;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
@@ -47,10 +47,10 @@
     };
     match run::run(options).await {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
+        Ok(false) => ExitCode::from(FAILED_RUN),
         Err(error) => {
             eprintln!("error: {error}");
-            ExitCode::from(BROKEN)
+            ExitCode::from(FAILED_RUN)
         }
     }
 }
--- a/standins/local/src/options.rs
+++ b/standins/local/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,48 +10,49 @@
 use crate::deployment::DeploymentName;
 use crate::fault::{FAULTS, FaultName};
 
-/// Exit code of a bad command line.
-const BAD_USAGE: u8 = 2;
+/// Exit code for an invalid command line.
+const USAGE_ERROR: u8 = 2;
 
-/// Columns of the help text.
-const HELP_COLUMNS: usize = 100;
+/// Width of the help text in columns.
+const HELP_WIDTH: usize = 100;
 
-/// A fault and when it happens.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PlannedFault {
+pub(crate) struct ScheduledFault {
     pub(crate) name: FaultName,
-    /// Seconds after the callers began.
+    /// Seconds after the start of the callers.
     pub(crate) second: f64,
 }
 
-/// Why a fault was not understood.
+/// Why a `--fault` argument is invalid.
 #[derive(Debug, Error)]
 pub(crate) enum FaultArgumentError {
-    #[error("{0:?} is not NAME@SECOND")]
-    NoSecond(String),
-    #[error("unknown fault {0:?}; known are {known}", known = FAULTS.map(|fault| fault.text).join(", "))]
-    Unknown(String),
-    #[error("{0:?} is not a number of seconds")]
-    BadSecond(String),
+    #[error("{0:?} is not of the form NAME@SECOND")]
+    MissingSecond(String),
+    #[error("unknown fault {0:?}; known faults: {known}", known = FAULTS.map(|fault| fault.text).join(", "))]
+    UnknownFault(String),
+    #[error("{0:?} is not a number of seconds from 0 to 3600")]
+    InvalidSecond(String),
 }
 
-impl FromStr for PlannedFault {
+impl FromStr for ScheduledFault {
     type Err = FaultArgumentError;
 
     fn from_str(text: &str) -> Result<Self, FaultArgumentError> {
         let parts = text.split_once('@');
-        let (name, second) = parts.ok_or_else(|| FaultArgumentError::NoSecond(text.to_owned()))?;
+        let (name, second) =
+            parts.ok_or_else(|| FaultArgumentError::MissingSecond(text.to_owned()))?;
         let found = FaultName::find(name);
-        let name = found.ok_or_else(|| FaultArgumentError::Unknown(name.to_owned()))?;
+        let name = found.ok_or_else(|| FaultArgumentError::UnknownFault(name.to_owned()))?;
         let parsed = second.parse().ok();
         let second = parsed
             .filter(|second| (0.0..=MAX_SECONDS).contains(second))
-            .ok_or_else(|| FaultArgumentError::BadSecond(second.to_owned()))?;
+            .ok_or_else(|| FaultArgumentError::InvalidSecond(second.to_owned()))?;
         Ok(Self { name, second })
     }
 }
 
-/// Longest run, in seconds: every run ends by itself.
+/// Upper bound of the length of a run, in seconds, so that every run ends without a signal.
 const MAX_SECONDS: f64 = 3_600.0;
 
 /// Starts a whole deployment on this machine, runs callers against it and judges the run
@@ -80,7 +81,7 @@
     pub(crate) rush: f64,
     /// A fault and when it happens; may be given several times
     #[bpaf(argument("NAME@SECOND"), many)]
-    pub(crate) fault: Vec<PlannedFault>,
+    pub(crate) fault: Vec<ScheduledFault>,
     /// Keep the logs and histories in this directory
     #[bpaf(argument("DIR"))]
     pub(crate) logs: Option<PathBuf>,
@@ -105,15 +106,15 @@
     (0.1..=5_000.0).contains(rate)
 }
 
-/// Reads the command line; the exit code when there is nothing to run.
+/// Parses the command line. Returns an exit code if there is nothing to run.
 pub(crate) fn read() -> Result<LocalOptions, ExitCode> {
     let failure = match local_options().run_inner(Args::current_args()) {
         Ok(options) => return Ok(options),
         Err(failure) => failure,
     };
-    failure.print_message(HELP_COLUMNS);
+    failure.print_message(HELP_WIDTH);
     Err(match failure {
-        ParseFailure::Stderr(_) => ExitCode::from(BAD_USAGE),
+        ParseFailure::Stderr(_) => ExitCode::from(USAGE_ERROR),
         ParseFailure::Stdout(..) | ParseFailure::Completion(_) => ExitCode::SUCCESS,
     })
 }
--- a/standins/local/src/summary.rs
+++ b/standins/local/src/output.rs
@@ -1,18 +1,18 @@
-//! What is printed: progress while a run goes on, and the table at its end.
+//! Output of a run: progress messages, and the table at the end.
 
 use lovagelatch_callers::CallerCounts;
 use lovagelatch_history::RunReport;
 use tokio::time::Instant;
 
-/// Prints progress to standard error, with the time since the callers began.
+/// Prints progress to standard error, with the time since the printer was created.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Narrator {
+pub(crate) struct ProgressPrinter {
     start: Instant,
     quiet: bool,
 }
 
-impl Narrator {
-    /// A narrator whose time starts now.
+impl ProgressPrinter {
+    /// Creates a printer whose time starts now. A quiet one prints nothing.
     pub(crate) fn new(quiet: bool) -> Self {
         Self {
             start: Instant::now(),
@@ -20,13 +20,13 @@
         }
     }
 
-    pub(crate) fn say(&self, text: &str) {
+    pub(crate) fn print(&self, text: &str) {
         if !self.quiet {
             eprintln!("[{:5.1} s] {text}", self.start.elapsed().as_secs_f64());
         }
     }
 
-    pub(crate) fn say_counts(&self, counts: &CallerCounts) {
+    pub(crate) fn print_counts(&self, counts: &CallerCounts) {
         let CallerCounts {
             requests,
             done,
@@ -37,23 +37,23 @@
             feeds,
             skipped,
         } = counts;
-        self.say(&format!(
+        self.print(&format!(
             "requests {requests} done {done} not run {not_run} unknown {unknown} | \
              flows {flows} broken {flows_broken} | feeds {feeds} | skipped {skipped}"
         ));
     }
 }
 
-/// Which counts a run may have above zero.
+/// Which counts of a report may be above zero.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RunAllowance {
-    /// Something unplanned happened: flows may break and outcomes may be unknown.
+pub(crate) struct RunTolerance {
+    /// The run has an unplanned fault, so flows may break and outcomes may be unknown.
     pub(crate) unplanned: bool,
 }
 
-/// Everything in a report that the faults of the run do not allow.
-pub(crate) fn broken_counts(report: &RunReport, allowance: RunAllowance) -> Vec<String> {
-    let always = [
+/// Returns every count in a report that violates what the faults of the run allow.
+pub(crate) fn violations(report: &RunReport, tolerance: RunTolerance) -> Vec<String> {
+    let always_zero = [
         ("ran_twice", report.ran_twice),
         ("not_run_but_ran", report.not_run_but_ran),
         ("wrong_service", report.wrong_service),
@@ -61,25 +61,25 @@
         ("cut", report.cut),
         ("new_work_after_leaving", report.new_work_after_leaving),
     ];
-    let unless_unplanned = [
+    let zero_unless_unplanned = [
         ("flows_broken", report.flows_broken),
         ("unknown", report.unknown),
     ];
-    let counted = unless_unplanned
+    let checked = zero_unless_unplanned
         .into_iter()
-        .filter(|_| !allowance.unplanned)
-        .chain(always);
-    let mut broken: Vec<String> = counted
+        .filter(|_| !tolerance.unplanned)
+        .chain(always_zero);
+    let mut violations: Vec<String> = checked
         .filter(|(_, count)| *count > 0)
         .map(|(name, count)| format!("{name} is {count}, must be 0"))
         .collect();
     if report.done == 0 {
-        broken.push("no request was done".to_owned());
+        violations.push("no request was done".to_owned());
     }
-    broken
+    violations
 }
 
-/// Prints the table.
+/// Prints the table of results.
 pub(crate) fn print_report(report: &RunReport) {
     let counts = [
         ("flows opened", report.flows_opened),
--- a/standins/local/src/process.rs
+++ b/standins/local/src/process.rs
@@ -1,9 +1,8 @@
-//! One process that the launcher started.
+//! A child process of the launcher.
 //!
-//! What goes wrong: a launcher that is killed leaves its processes behind. Each process
-//! therefore asks the kernel to be killed when the launcher ends, before it starts its
-//! program; and it is in a group of its own, so that Ctrl-C reaches the launcher alone, which
-//! then stops all in order.
+//! A launcher that is killed would leave its child processes behind. Each child therefore asks the
+//! kernel, before it executes its program, to be killed when the launcher exits. It is also in its
+//! own process group: Ctrl-C reaches only the launcher, which then stops all processes in order.
 
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom};
@@ -17,27 +16,27 @@
 
 use crate::error::LocalError;
 
-/// Longest wait for a ready line.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for the ready line of a stand-in.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bytes of a log that are shown when its process ended.
+/// Bytes of a log that are shown after an unexpected exit.
 const TAIL_BYTES: u64 = 2_000;
 
-/// A process.
+/// A child process with its log.
 #[derive(Debug)]
 pub(crate) struct LocalProcess {
     pub(crate) name: String,
     child: Child,
     pid: libc::pid_t,
     log: PathBuf,
-    /// Whether its end is intended.
-    pub(crate) may_end: bool,
+    /// Whether the launcher has ended the process itself.
+    pub(crate) exit_expected: bool,
     reported: bool,
 }
 
 impl LocalProcess {
-    /// Starts a program with its standard error going to a log file, and reads its standard
-    /// output.
+    /// Starts a program with its standard error redirected to a log file. Returns the lines of its
+    /// standard output.
     pub(crate) fn spawn(
         name: &str,
         program: &Path,
@@ -47,11 +46,11 @@
         let mut process = Self::start(name, program, arguments, logs, |_| Ok(Stdio::piped()))?;
         match process.child.stdout.take() {
             Some(stdout) => Ok((process, BufReader::new(stdout).lines())),
-            None => Err(process.ended_early()),
+            None => Err(process.exited_early()),
         }
     }
 
-    /// Starts a program whose standard output is its log.
+    /// Starts a program with both standard output and standard error redirected to a log file.
     pub(crate) fn spawn_logged(
         name: &str,
         program: &Path,
@@ -83,7 +82,7 @@
             .stderr(file)
             .process_group(0)
             .kill_on_drop(true);
-        // SAFETY: `prctl` is safe to call between fork and exec, and touches no memory.
+        // SAFETY: `prctl` is safe to call between fork and exec, and accesses no memory.
         unsafe {
             command.pre_exec(|| {
                 if libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) == 0 {
@@ -103,12 +102,12 @@
             child,
             pid,
             log,
-            may_end: false,
+            exit_expected: false,
             reported: false,
         })
     }
 
-    /// Starts a program and waits for the JSON line that says it is ready.
+    /// Starts a program and waits for the JSON line that reports it ready.
     pub(crate) async fn spawn_ready(
         name: &str,
         program: &Path,
@@ -116,20 +115,20 @@
         logs: &Path,
     ) -> Result<(Self, Value), LocalError> {
         let (process, mut lines) = Self::spawn(name, program, arguments, logs)?;
-        let line = tokio::time::timeout(READY_LIMIT, lines.next_line()).await;
+        let line = tokio::time::timeout(READY_TIMEOUT, lines.next_line()).await;
         match line {
             Ok(Ok(Some(line))) => {
                 let ready = serde_json::from_str(&line)?;
                 tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
                 Ok((process, ready))
             }
-            Ok(_) => Err(process.ended_early()),
+            Ok(_) => Err(process.exited_early()),
             Err(_) => Err(process.not_ready()),
         }
     }
 
-    pub(crate) fn ended_early(&self) -> LocalError {
-        LocalError::EndedEarly {
+    pub(crate) fn exited_early(&self) -> LocalError {
+        LocalError::ExitedEarly {
             name: self.name.clone(),
             tail: self.log_tail(),
         }
@@ -142,29 +141,29 @@
         }
     }
 
-    /// The last lines of its log.
+    /// Returns the last lines of its log.
     pub(crate) fn log_tail(&self) -> String {
-        read_tail(&self.log).unwrap_or_else(|error| format!("(log not read: {error})"))
+        read_tail(&self.log).unwrap_or_else(|error| format!("(cannot read log: {error})"))
     }
 
-    /// Sends a signal, if it still runs.
+    /// Sends a signal if the process still runs.
     pub(crate) fn signal(&mut self, signal: libc::c_int) {
         if self.exit_status().is_none() {
-            // SAFETY: the process was not waited for yet, so its number is still its own.
+            // SAFETY: the process has not been reaped, so its pid has not been reused.
             unsafe {
                 libc::kill(self.pid, signal);
             }
         }
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// What to say when it ended without leave; said once.
-    pub(crate) fn unexpected_end(&mut self) -> Option<String> {
-        if self.may_end || self.reported {
+    /// Returns a message if the process exited unexpectedly, once.
+    pub(crate) fn unexpected_exit(&mut self) -> Option<String> {
+        if self.exit_expected || self.reported {
             return None;
         }
         let status = self.exit_status()?;
@@ -176,15 +175,15 @@
         ))
     }
 
-    /// Ends it at once.
+    /// Kills the process.
     pub(crate) fn kill(&mut self) {
-        self.may_end = true;
+        self.exit_expected = true;
         self.signal(libc::SIGKILL);
     }
 
-    /// Asks it to stop in order.
+    /// Sends SIGTERM, so that the process shuts down in order.
     pub(crate) fn terminate(&mut self) {
-        self.may_end = true;
+        self.exit_expected = true;
         self.signal(libc::SIGTERM);
     }
 }
--- a/standins/local/src/publish.rs
+++ b/standins/local/src/publish.rs
@@ -1,4 +1,4 @@
-//! What the launcher publishes: instance list and text to the platform, topology to the fabric.
+//! Publishes instance list and service text to the platform, and the topology to the fabric.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use serde::Serialize;
 use serde_json::Value;
 
+use crate::config_files::service_text;
 use crate::error::LocalError;
-use crate::fleet_files::service_text;
 use crate::http_client;
 use crate::rig::LocalRig;
 
@@ -22,7 +22,7 @@
 }
 
 impl LocalRig {
-    /// Publishes the instances that are listed now, and tells the fabric.
+    /// Publishes the list of the currently listed instances, and the topology.
     pub(crate) async fn publish_fleet(&mut self) -> Result<(), LocalError> {
         let targets = self.targets.iter().filter(|target| target.listed);
         let targets = targets.map(|target| target.plan.record(target.state));
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Tells the fabric where packets go.
+    /// Publishes to the fabric which balancers receive packets, and the zones of all addresses.
     pub(crate) async fn publish_topology(&self) -> Result<(), LocalError> {
         let mut zones = BTreeMap::new();
         for target in &self.targets {
@@ -77,28 +77,28 @@
         Ok(())
     }
 
-    /// Publishes a new text with the addresses as they are now; returns its revision.
+    /// Publishes a new service text with the current addresses. Returns its revision.
     pub(crate) async fn publish_text(&mut self) -> Result<u64, LocalError> {
-        self.changes += 1;
-        let text = service_text(&self.deployment, &self.addresses, self.changes);
+        self.published_texts += 1;
+        let text = service_text(&self.deployment, &self.addresses, self.published_texts);
         self.publish_raw_text(&text).await
     }
 
-    /// Publishes any text; returns its revision.
+    /// Publishes the given text. Returns its revision.
     pub(crate) async fn publish_raw_text(&self, text: &str) -> Result<u64, LocalError> {
-        let answer = http_client::put_text(self.platform_address, "/admin/config", text).await?;
-        let published: PublishedRevision = serde_json::from_slice(&answer)?;
+        let response = http_client::put_text(self.platform_address, "/admin/config", text).await?;
+        let published: PublishedRevision = serde_json::from_slice(&response)?;
         Ok(published.revision)
     }
 
     /// Sets the platform's faults.
-    pub(crate) async fn fault_platform(&self, fault: FaultSettings) -> Result<(), LocalError> {
+    pub(crate) async fn set_platform_fault(&self, fault: FaultSettings) -> Result<(), LocalError> {
         http_client::put_json(self.platform_address, "/admin/fault", &fault).await?;
         Ok(())
     }
 
     /// Sets the fabric's faults.
-    pub(crate) async fn fault_fabric(&self, fault: Value) -> Result<(), LocalError> {
+    pub(crate) async fn set_fabric_fault(&self, fault: Value) -> Result<(), LocalError> {
         http_client::put_json(self.fabric_admin, "/admin/fault", &fault).await?;
         Ok(())
     }
--- a/standins/local/src/rig.rs
+++ b/standins/local/src/rig.rs
@@ -1,4 +1,4 @@
-//! A running deployment: starting its processes.
+//! A running deployment: starts its processes and holds their state.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -7,17 +7,17 @@
 use serde_json::Value;
 
 use crate::binaries::ProgramDirectory;
+use crate::config_files::CallerAddress;
 use crate::credentials::RunCredentials;
 use crate::deployment::Deployment;
 use crate::directory::RunDirectory;
 use crate::error::LocalError;
-use crate::fleet_files::CallerAddress;
 use crate::ports::PortPool;
 use crate::process::LocalProcess;
 use crate::spawn::wait_ready;
 use crate::target::{BalancerPlan, LocalBalancer, LocalTarget};
 
-/// A running deployment.
+/// The processes and state of a running deployment.
 #[derive(Debug)]
 pub(crate) struct LocalRig {
     pub(crate) deployment: Deployment,
@@ -35,23 +35,23 @@
     pub(crate) ports: PortPool,
     pub(crate) next_target: u32,
     pub(crate) next_balancer: usize,
-    /// Texts published so far.
-    pub(crate) changes: u64,
-    /// First notices of leaving.
+    /// Number of service texts published.
+    pub(crate) published_texts: u64,
+    /// When each target announced that it leaves.
     pub(crate) leaving: Vec<TargetLeaving>,
-    /// How long each configuration took; `None` for one that was not in force in time.
-    pub(crate) config_times: Vec<Option<f64>>,
-    /// What broke besides what the histories show.
+    /// Propagation time of each configuration in milliseconds; `None` after a timeout.
+    pub(crate) config_durations: Vec<Option<f64>>,
+    /// Failures that the histories do not show.
     pub(crate) findings: Vec<String>,
 }
 
-/// Where a stand-in says that it listens.
+/// Returns an address from the ready line of a stand-in.
 pub(crate) fn ready_address(ready: &Value, field: &str) -> Option<SocketAddrV4> {
     ready.get(field)?.as_str()?.parse().ok()
 }
 
 impl LocalRig {
-    /// Starts the stand-ins that everything else needs: platform and fabric.
+    /// Starts the stand-ins on which all other processes depend: platform and fabric.
     pub(crate) async fn start(
         deployment: Deployment,
         directory: RunDirectory,
@@ -96,14 +96,14 @@
             ports: PortPool::new(),
             next_target: 0,
             next_balancer: 0,
-            changes: 0,
+            published_texts: 0,
             leaving: Vec::new(),
-            config_times: Vec::new(),
+            config_durations: Vec::new(),
             findings: Vec::new(),
         })
     }
 
-    /// Starts everything at the deployment's sizes and waits until all are ready.
+    /// Starts all instances of the deployment and waits until they are ready.
     pub(crate) async fn start_all(&mut self) -> Result<(), LocalError> {
         for (index, service) in self.deployment.services.into_iter().enumerate() {
             for (number, agency) in (1_u8..).zip(service.agencies) {
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// Adds an address that leads to a service; it is published with the next text.
+    /// Adds an address of a service. It is published with the next service text.
     pub(crate) fn add_address(
         &mut self,
         service: &'static str,
@@ -194,15 +194,15 @@
         Ok(name)
     }
 
-    /// Every process of the system that should be running.
+    /// Returns name and operations address of every agent and balancer that should be running.
     pub(crate) fn running_operations(&self) -> Vec<(String, SocketAddrV4)> {
         let targets = self.targets.iter();
         let agents = targets
-            .filter(|target| !target.agent.may_end)
+            .filter(|target| !target.agent.exit_expected)
             .map(|target| (target.agent.name.clone(), target.plan.addresses.operations));
         let balancers = self.balancers.iter();
         let balancers = balancers
-            .filter(|balancer| !balancer.process.may_end)
+            .filter(|balancer| !balancer.process.exit_expected)
             .map(|balancer| {
                 let operations = balancer.plan.addresses.operations;
                 (balancer.process.name.clone(), operations)
@@ -210,7 +210,7 @@
         agents.chain(balancers).collect()
     }
 
-    /// All processes, in the order in which they are stopped.
+    /// Returns all processes in the order in which they are stopped.
     pub(crate) fn processes(&mut self) -> Vec<&mut LocalProcess> {
         let mut processes = Vec::new();
         for target in &mut self.targets {
@@ -225,12 +225,12 @@
         processes
     }
 
-    /// Notes every process that ended without leave.
+    /// Records every process that exited unexpectedly. Returns the new findings.
     pub(crate) fn check_processes(&mut self) -> Vec<String> {
         let ends: Vec<String> = self
             .processes()
             .into_iter()
-            .filter_map(LocalProcess::unexpected_end)
+            .filter_map(LocalProcess::unexpected_exit)
             .collect();
         self.findings.extend(ends.iter().cloned());
         ends
--- a/standins/local/src/run.rs
+++ b/standins/local/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run, from the first process to the verdict.
+//! Runs a deployment from the start of its processes to the evaluation of the histories.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,34 +13,34 @@
 use tokio::time::{sleep, timeout};
 
 use crate::binaries::ProgramDirectory;
-use crate::caller_plan::{caller_plan, hold_line};
-use crate::config_watch::publish_and_measure;
+use crate::caller_plan::{caller_plan, endpoints_json};
+use crate::config_propagation::publish_and_measure;
 use crate::deployment::Deployment;
 use crate::directory::{RunDirectory, file_error};
 use crate::error::LocalError;
+use crate::fault_script::run_fault;
 use crate::options::LocalOptions;
+use crate::output::{ProgressPrinter, RunTolerance, print_report, violations};
 use crate::process::LocalProcess;
 use crate::rig::LocalRig;
-use crate::script::run_fault;
-use crate::stop::stop_all;
-use crate::summary::{Narrator, RunAllowance, broken_counts, print_report};
+use crate::shutdown::stop_all;
 
-/// How long after the last arrival callers may still wait for answers and retries.
-const CALLERS_GRACE: Duration = Duration::from_secs(75);
+/// How long callers may wait for responses and retries after the last arrival.
+const CALLERS_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// How long faults may go on once the callers have ended.
-const FAULTS_GRACE: Duration = Duration::from_secs(20);
+/// How long faults may continue after the callers have finished.
+const FAULTS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often the processes are looked at.
-const CHECK_PERIOD: Duration = Duration::from_millis(200);
+/// How often processes are checked for unexpected exits.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// When a run without a fault of the configuration publishes a harmless change, as a share of
-/// its length, so that every run measures how long one takes.
-const CHANGE_SHARE: f64 = 0.4;
+/// When a run without a configuration fault publishes a harmless change, as a share of its length.
+/// With it every run measures the propagation time of a configuration.
+const CONFIG_CHANGE_AT: f64 = 0.4;
 
 type SharedRig = Arc<Mutex<LocalRig>>;
 
-/// Makes a run; true when nothing broke that its faults do not allow.
+/// Runs a deployment. Returns true if its results have no failure beyond what its faults allow.
 pub(crate) async fn run(options: LocalOptions) -> Result<bool, LocalError> {
     let mut interrupt = signal(SignalKind::interrupt()).map_err(LocalError::Signals)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(LocalError::Signals)?;
@@ -60,7 +60,7 @@
     };
     let rig = Arc::new(Mutex::new(started));
     if options.hold {
-        println!("{}", hold_line(&*rig.lock().await));
+        println!("{}", endpoints_json(&*rig.lock().await));
         stopped.await;
         stop_all(&mut *rig.lock().await).await;
         return Ok(true);
@@ -69,14 +69,14 @@
         ran = run_callers(&rig, &options) => ran,
         () = &mut stopped => Err(LocalError::Interrupted),
     };
-    let slow = stop_all(&mut *rig.lock().await).await;
+    let killed = stop_all(&mut *rig.lock().await).await;
     let facts = ran?;
     let mut rig = rig.lock().await;
-    for name in slow {
+    for name in killed {
         rig.findings
             .push(format!("{name} did not stop in time after SIGTERM"));
     }
-    judge(&mut rig, &facts, &options)
+    evaluate_run(&mut rig, &facts, &options)
 }
 
 async fn start(
@@ -85,7 +85,7 @@
     programs: ProgramDirectory,
     options: &LocalOptions,
 ) -> Result<LocalRig, LocalError> {
-    let narrator = Narrator::new(options.quiet);
+    let progress = ProgressPrinter::new(options.quiet);
     let mut rig = LocalRig::start(deployment, directory, programs, options.seed).await?;
     let started = rig.start_all().await;
     if started.is_err() {
@@ -94,16 +94,16 @@
     }
     started?;
     let (targets, balancers) = (rig.targets.len(), rig.balancers.len());
-    narrator.say(&format!(
+    progress.print(&format!(
         "{} is up: {balancers} balancers, {targets} targets",
         deployment.name
     ));
     Ok(rig)
 }
 
-/// Runs callers and faults; returns what happened when.
+/// Runs callers and faults, and returns the times of the run that the evaluation needs.
 async fn run_callers(rig: &SharedRig, options: &LocalOptions) -> Result<RunFacts, LocalError> {
-    let narrator = Narrator::new(options.quiet);
+    let progress = ProgressPrinter::new(options.quiet);
     let mut facts = RunFacts {
         started_ms: unix_millis(),
         ..RunFacts::default()
@@ -116,51 +116,51 @@
         let arguments = ["--plan".to_owned(), path.display().to_string()];
         LocalProcess::spawn("callers", &program, &arguments, &rig.directory.logs)?
     };
-    let mut faults = start_faults(rig, options, narrator);
-    let progress = async {
+    let mut faults = start_faults(rig, options, progress);
+    let read_progress = async {
         let mut lines = lines;
         while let Ok(Some(line)) = lines.next_line().await {
             if let Ok(counts) = serde_json::from_str::<CallerCounts>(&line) {
-                narrator.say_counts(&counts);
+                progress.print_counts(&counts);
             }
         }
     };
     let checks = async {
         loop {
-            sleep(CHECK_PERIOD).await;
+            sleep(CHECK_INTERVAL).await;
             for end in rig.lock().await.check_processes() {
                 eprintln!("{end}");
             }
         }
     };
-    let limit = Duration::from_secs_f64(options.seconds) + CALLERS_GRACE;
+    let callers_timeout = Duration::from_secs_f64(options.seconds) + CALLERS_TIMEOUT;
     let ended = tokio::select! {
-        ended = timeout(limit, progress) => ended.is_ok(),
+        ended = timeout(callers_timeout, read_progress) => ended.is_ok(),
         () = checks => true,
     };
     if !ended {
-        let finding = format!("callers did not end within {} s", limit.as_secs());
+        let finding = format!("callers did not end within {} s", callers_timeout.as_secs());
         rig.lock().await.findings.push(finding);
         callers.kill();
     }
     facts.ended_ms = unix_millis();
-    wait_for_callers(rig, &mut callers).await;
+    reap_callers(rig, &mut callers).await;
     finish_faults(rig, &mut faults).await;
     let rig = rig.lock().await;
     facts.leaving.clone_from(&rig.leaving);
-    facts.unplanned_since_ms = unplanned_since(options, facts.started_ms);
-    let times: Option<Vec<f64>> = rig.config_times.iter().copied().collect();
+    facts.unplanned_since_ms = first_unplanned_fault(options, facts.started_ms);
+    let times: Option<Vec<f64>> = rig.config_durations.iter().copied().collect();
     facts.config_in_force_ms = times.and_then(|times| times.into_iter().reduce(f64::max));
     Ok(facts)
 }
 
-async fn wait_for_callers(rig: &SharedRig, callers: &mut LocalProcess) {
+async fn reap_callers(rig: &SharedRig, callers: &mut LocalProcess) {
     let mut status = callers.exit_status();
     for _ in 0..50 {
         if status.is_some() {
             break;
         }
-        sleep(CHECK_PERIOD / 10).await;
+        sleep(CHECK_INTERVAL / 10).await;
         status = callers.exit_status();
     }
     if !status.is_some_and(|status| status.success()) {
@@ -173,7 +173,7 @@
 fn start_faults(
     rig: &SharedRig,
     options: &LocalOptions,
-    narrator: Narrator,
+    progress: ProgressPrinter,
 ) -> JoinSet<Result<(), LocalError>> {
     let mut faults = JoinSet::new();
     for fault in &options.fault {
@@ -181,16 +181,16 @@
         let (name, wait) = (fault.name, Duration::from_secs_f64(fault.second));
         faults.spawn(async move {
             sleep(wait).await;
-            run_fault(name, rig, narrator).await
+            run_fault(name, rig, progress).await
         });
     }
     if !options.fault.iter().any(|fault| fault.name.is_config()) {
         let rig = Arc::clone(rig);
-        let wait = Duration::from_secs_f64(options.seconds * CHANGE_SHARE);
+        let wait = Duration::from_secs_f64(options.seconds * CONFIG_CHANGE_AT);
         faults.spawn(async move {
             sleep(wait).await;
             let revision = publish_and_measure(&rig).await?;
-            narrator.say(&format!(
+            progress.print(&format!(
                 "revision {revision}, a harmless change, is in force"
             ));
             Ok(())
@@ -199,9 +199,9 @@
     faults
 }
 
-/// Waits for faults that outlast the callers, and notes those that failed or did not end.
+/// Waits for faults that outlast the callers, and records those that failed or did not finish.
 async fn finish_faults(rig: &SharedRig, faults: &mut JoinSet<Result<(), LocalError>>) {
-    let all_over = async {
+    let all_finished = async {
         while let Some(ended) = faults.join_next().await {
             if let Ok(Err(error)) = ended {
                 let finding = format!("a fault failed: {error}");
@@ -209,14 +209,14 @@
             }
         }
     };
-    if timeout(FAULTS_GRACE, all_over).await.is_err() {
+    if timeout(FAULTS_TIMEOUT, all_finished).await.is_err() {
         let finding = format!("{} faults were not over in time", faults.len());
         rig.lock().await.findings.push(finding);
     }
     faults.shutdown().await;
 }
 
-fn unplanned_since(options: &LocalOptions, started_ms: f64) -> Option<f64> {
+fn first_unplanned_fault(options: &LocalOptions, started_ms: f64) -> Option<f64> {
     let unplanned = options
         .fault
         .iter()
@@ -225,8 +225,12 @@
     Some(started_ms + seconds * 1_000.0)
 }
 
-/// Reads the histories, prints the report and says what broke.
-fn judge(rig: &mut LocalRig, facts: &RunFacts, options: &LocalOptions) -> Result<bool, LocalError> {
+/// Reads the histories, and prints the report and the failures.
+fn evaluate_run(
+    rig: &mut LocalRig,
+    facts: &RunFacts,
+    options: &LocalOptions,
+) -> Result<bool, LocalError> {
     let callers = read_history(&rig.directory.logs.join("callers.jsonl"))?;
     let mut backends = Vec::new();
     for target in &rig.targets {
@@ -238,18 +242,18 @@
         write_report(&report, path)?;
     }
     let unplanned = facts.unplanned_since_ms.is_some();
-    let mut broken = broken_counts(&report, RunAllowance { unplanned });
-    broken.append(&mut rig.findings);
-    for line in &broken {
+    let mut failures = violations(&report, RunTolerance { unplanned });
+    failures.append(&mut rig.findings);
+    for line in &failures {
         println!("BROKEN: {line}");
     }
-    if !broken.is_empty() {
+    if !failures.is_empty() {
         rig.directory.keep();
     }
-    if !broken.is_empty() || options.logs.is_some() {
+    if !failures.is_empty() || options.logs.is_some() {
         println!("logs and histories: {}", rig.directory.logs.display());
     }
-    Ok(broken.is_empty())
+    Ok(failures.is_empty())
 }
 
 fn write_report(report: &RunReport, path: &std::path::Path) -> Result<(), LocalError> {
--- a/standins/local/src/spawn.rs
+++ b/standins/local/src/spawn.rs
@@ -1,4 +1,4 @@
-//! Starting one target or balancer.
+//! Plans and starts targets and balancers.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use lovagelatch_domain::InstanceState;
 use tokio::time::Instant;
 
+use crate::config_files::{AgentFields, CommonFields, agent_settings, balancer_settings};
 use crate::deployment::DeploymentService;
 use crate::error::LocalError;
-use crate::fleet_files::{AgentFields, CommonFields, agent_settings, balancer_settings};
 use crate::http_client;
 use crate::process::LocalProcess;
 use crate::rig::{LocalRig, ready_address};
 use crate::target::{BalancerPlan, LocalBalancer, LocalTarget, ProcessAddresses, TargetPlan};
 
-/// Longest wait for a process of the system to be ready.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for a balancer or an agent to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often a process is asked whether it is ready.
-const READY_PERIOD: Duration = Duration::from_millis(30);
+/// Interval between readiness checks of a process.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 impl LocalRig {
     fn reserve_addresses(&mut self) -> Result<ProcessAddresses, LocalError> {
@@ -35,7 +35,7 @@
         self.ports.release(addresses.listen);
     }
 
-    /// Decides on a new target of a service.
+    /// Plans a new target of a service.
     pub(crate) fn plan_target(
         &mut self,
         service: &DeploymentService,
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Decides on a new balancer.
+    /// Plans a new balancer.
     pub(crate) fn plan_balancer(&mut self) -> Result<BalancerPlan, LocalError> {
         self.next_balancer += 1;
         Ok(BalancerPlan {
@@ -112,13 +112,13 @@
         })
     }
 
-    /// The path of documents of the service that this one depends on, behind the gateway.
+    /// Returns the gateway path of the documents of the service that this one depends on.
     fn dependency_path(&self, service: &str) -> Option<String> {
         let services = self.deployment.services;
-        let own = services.iter().find(|entry| entry.name == service)?;
-        let depends = own.depends?;
-        let other = services.iter().find(|entry| entry.name == depends)?;
-        Some(format!("/{depends}{}", other.download?))
+        let service = services.iter().find(|entry| entry.name == service)?;
+        let depends = service.depends?;
+        let dependency = services.iter().find(|entry| entry.name == depends)?;
+        Some(format!("/{depends}{}", dependency.download?))
     }
 
     pub(crate) fn spawn_balancer(
@@ -174,20 +174,20 @@
     }
 }
 
-/// Waits until a process says on its operations address that it is ready.
+/// Waits until a process reports on its operations address that it is ready.
 pub(crate) async fn wait_ready(
     process: &mut LocalProcess,
     operations: SocketAddrV4,
 ) -> Result<(), LocalError> {
-    let deadline = Instant::now() + READY_LIMIT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     while http_client::get(operations, "/health").await.is_err() {
         if process.exit_status().is_some() {
-            return Err(process.ended_early());
+            return Err(process.exited_early());
         }
         if Instant::now() > deadline {
             return Err(process.not_ready());
         }
-        tokio::time::sleep(READY_PERIOD).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/standins/local/src/target.rs
+++ b/standins/local/src/target.rs
@@ -9,16 +9,16 @@
 
 use crate::process::LocalProcess;
 
-/// The addresses of one of the system's processes.
+/// The addresses of a balancer or an agent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessAddresses {
     pub(crate) control: SocketAddrV4,
     pub(crate) operations: SocketAddrV4,
-    /// Where a balancer takes packets, or an agent its backend server's calls.
+    /// Where a balancer receives packets, or an agent the calls of its backend server.
     pub(crate) listen: SocketAddrV4,
 }
 
-/// What is decided of a target before it starts.
+/// A target that is planned but not started.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetPlan {
     pub(crate) name: String,
@@ -48,7 +48,7 @@
 pub(crate) struct LocalTarget {
     pub(crate) plan: TargetPlan,
     pub(crate) state: InstanceState,
-    /// Whether the platform lists it.
+    /// Whether it is in the instance list of the platform.
     pub(crate) listed: bool,
     pub(crate) agent: LocalProcess,
     pub(crate) backend: LocalProcess,
@@ -58,11 +58,11 @@
 
 impl LocalTarget {
     pub(crate) fn is_live(&self) -> bool {
-        self.listed && self.state == InstanceState::Live && !self.agent.may_end
+        self.listed && self.state == InstanceState::Live && !self.agent.exit_expected
     }
 }
 
-/// What is decided of a balancer before it starts.
+/// A balancer that is planned but not started.
 #[derive(Clone, Debug)]
 pub(crate) struct BalancerPlan {
     pub(crate) name: String,
@@ -81,17 +81,17 @@
     }
 }
 
-/// A balancer.
+/// A running balancer.
 #[derive(Debug)]
 pub(crate) struct LocalBalancer {
     pub(crate) plan: BalancerPlan,
-    /// Whether the platform lists it and the fabric hands it packets.
+    /// Whether it is in the instance list of the platform and receives packets from the fabric.
     pub(crate) listed: bool,
     pub(crate) process: LocalProcess,
 }
 
-/// A name from the tables of deployments, all of which are good names.
+/// Parses a name from the deployment tables, all of which are valid.
 fn name<N: std::str::FromStr>(text: &str) -> N {
     let parsed = text.parse().ok();
-    parsed.expect("the deployments' tables hold good names")
+    parsed.expect("names in the deployment tables are valid")
 }
