--- a/tests/matrix/src/configuration.rs
+++ b/tests/matrix/src/configuration.rs
@@ -1,7 +1,7 @@
-//! The way of a configuration from the platform into force on every process.
+//! Propagation of a configuration from the platform to every process.
 //!
-//! The members, their messages and the platform's answers are those of the rig that measures
-//! what control costs; here each fault strikes before each step of an operator.
+//! The members, their messages and the platform's responses are those of the rig that measures the
+//! cost of the control plane. Here each fault is injected before each step of an operator.
 
 use std::time::Duration;
 
@@ -19,125 +19,129 @@
 const ZONES: u32 = 4;
 const ADDRESSES: u32 = 2;
 
-/// The zone that a partition cuts off, and the others.
-const CUT_ZONE: &str = "zone-3";
+/// The zone that a partition isolates.
+const PARTITIONED_ZONE: &str = "zone-3";
+
+/// The zones on the other side of the partition.
 const OTHER_ZONES: [&str; 3] = ["zone-0", "zone-1", "zone-2"];
 
-/// The member that sleeps or starts anew.
-const SLEEPER: usize = 2;
+/// The member that is paused or replaced.
+const AFFECTED_MEMBER: usize = 2;
+
+const INVALID_TEXT: &str = "[service service-0]\naddress = nowhere\n";
+const SETTLE_TIME: Duration = Duration::from_secs(8);
+const STEP_DURATION: Duration = Duration::from_secs(3);
+const RECOVERY_TIME: Duration = Duration::from_secs(11);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-const INVALID: &str = "[service service-0]\naddress = nowhere\n";
-const SETTLE: Duration = Duration::from_secs(8);
-const STEP_TIME: Duration = Duration::from_secs(3);
-const END_TIME: Duration = Duration::from_secs(11);
-const LOOK: Duration = Duration::from_millis(200);
+/// Number of steps that a short fault lasts.
+const SHORT_FAULT_STEPS: usize = 1;
 
-/// Steps that a fault lasts: one, or long enough that the limit on spreading ends under it.
-const SHORT: usize = 1;
-const LONG: usize = 4;
+/// Number of steps that a long fault lasts: longer than [`crate::PROPAGATION_TIMEOUT`].
+const LONG_FAULT_STEPS: usize = 4;
 
-/// What goes wrong with a configuration.
+/// A fault in the propagation of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigFault {
-    /// The platform answers nothing.
+    /// The platform does not respond.
     PlatformDown,
-    /// The platform answers with the first revision, and some ask again.
+    /// The platform responds with the first revision, and a third of the members resync.
     PlatformStale,
-    /// Three of ten datagrams are lost.
+    /// 30 % of the datagrams are lost.
     LostFrames,
-    /// Nearly all datagrams come twice.
-    DoubledFrames,
-    /// Most datagrams come up to a second late.
-    LateFrames,
-    /// A zone is cut off from all others and from the platform.
-    ZoneCutOff,
-    /// A zone hears all others, and neither they nor the platform hear it.
-    ZoneCutOneWay,
-    /// Half of the zones do not reach the platform.
-    HalfCutFromPlatform,
-    /// A member stops, and wakes when the fault ends.
-    MemberSleeps,
-    /// A member is replaced by a fresh one.
-    MemberFresh,
-    /// Three members that read the platform die.
+    /// 90 % of the datagrams are duplicated.
+    DuplicatedFrames,
+    /// 70 % of the datagrams are delayed by up to one second.
+    DelayedFrames,
+    /// A zone is partitioned from all others and from the platform.
+    ZonePartitioned,
+    /// A zone receives from all others, but neither they nor the platform receive from it.
+    ZonePartitionedOneWay,
+    /// Half of the zones cannot reach the platform.
+    PlatformPartitioned,
+    /// A member is paused until the fault ends.
+    MemberPaused,
+    /// A member is replaced by one without state.
+    MemberReplaced,
+    /// Three of the members that read the platform are killed.
     ReadersKilled,
-    /// An invalid text is published besides.
-    InvalidBetween,
+    /// An additional, invalid text is published.
+    InvalidPublished,
 }
 
-/// All of them.
+/// All configuration faults.
 pub const CONFIG_FAULTS: [ConfigFault; 12] = [
     ConfigFault::PlatformDown,
     ConfigFault::PlatformStale,
     ConfigFault::LostFrames,
-    ConfigFault::DoubledFrames,
-    ConfigFault::LateFrames,
-    ConfigFault::ZoneCutOff,
-    ConfigFault::ZoneCutOneWay,
-    ConfigFault::HalfCutFromPlatform,
-    ConfigFault::MemberSleeps,
-    ConfigFault::MemberFresh,
+    ConfigFault::DuplicatedFrames,
+    ConfigFault::DelayedFrames,
+    ConfigFault::ZonePartitioned,
+    ConfigFault::ZonePartitionedOneWay,
+    ConfigFault::PlatformPartitioned,
+    ConfigFault::MemberPaused,
+    ConfigFault::MemberReplaced,
     ConfigFault::ReadersKilled,
-    ConfigFault::InvalidBetween,
+    ConfigFault::InvalidPublished,
 ];
 
-/// What operators do, step by step.
+/// A step of the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigStep {
-    /// A change is published.
+    /// Publishes a change.
     Publish,
-    /// A text with faults is published.
+    /// Publishes an invalid text.
     PublishInvalid,
-    /// Two changes are published at once.
+    /// Publishes two changes at once.
     PublishTwice,
-    /// Nothing; gossip goes on.
-    Spread,
-    /// One more change is published.
+    /// Publishes nothing while gossip continues.
+    Propagate,
+    /// Publishes another change.
     PublishAgain,
 }
 
-/// All of them, in order.
+/// All steps of the operator, in order.
 pub const CONFIG_STEPS: [ConfigStep; 5] = [
     ConfigStep::Publish,
     ConfigStep::PublishInvalid,
     ConfigStep::PublishTwice,
-    ConfigStep::Spread,
+    ConfigStep::Propagate,
     ConfigStep::PublishAgain,
 ];
 
-/// Plays an operator's steps under the faults of a plan.
+/// Runs the operator's steps with the faults of a plan.
 #[must_use]
-pub fn play_configuration(plan: &FaultPlan<ConfigFault, ConfigStep>) -> MatrixHistory {
+pub fn run_configuration(plan: &FaultPlan<ConfigFault, ConfigStep>) -> MatrixHistory {
     let mut run = ConfigRun::new(plan.seed);
-    let lasts = if plan.seed.is_multiple_of(2) {
-        SHORT
+    let fault_steps = if plan.seed.is_multiple_of(2) {
+        SHORT_FAULT_STEPS
     } else {
-        LONG
+        LONG_FAULT_STEPS
     };
     let mut ends: Vec<(usize, ConfigFault)> = Vec::new();
     for (number, step) in CONFIG_STEPS.into_iter().enumerate() {
         for fault in plan.faults_at(step) {
-            run.start(fault, step);
-            ends.push((number + lasts, fault));
+            run.start_fault(fault, step);
+            ends.push((number + fault_steps, fault));
         }
-        run.take_step(step);
-        run.watch(STEP_TIME);
+        run.execute_step(step);
+        run.run_for(STEP_DURATION);
         ends.retain(|(end, fault)| {
-            let over = *end <= number + 1;
-            if over {
-                run.end(*fault);
+            let has_ended = *end <= number + 1;
+            if has_ended {
+                run.end_fault(*fault);
             }
-            !over
+            !has_ended
         });
     }
-    // What lasts longer is watched until its spreading is due, then ends.
+    // Longer faults end once propagation under them has been checked.
     if !ends.is_empty() {
-        run.watch(END_TIME);
+        run.run_for(RECOVERY_TIME);
     }
     for (_, fault) in ends {
-        run.end(fault);
+        run.end_fault(fault);
     }
-    run.watch(END_TIME);
+    run.run_for(RECOVERY_TIME);
     run.history
 }
 
@@ -145,9 +149,9 @@
     rig: MemberRig,
     history: MatrixHistory,
     starts: Vec<u64>,
-    held: Vec<u64>,
-    /// Since when nothing has changed in what should be in force and who can be reached.
-    steady_since: Moment,
+    applied: Vec<u64>,
+    /// When the expected revision or the set of reachable members last changed.
+    stable_since: Moment,
     newest: u64,
 }
 
@@ -155,25 +159,25 @@
     fn new(seed: u64) -> Self {
         let list = rig_list(BALANCERS, SERVICES, TARGETS, ZONES);
         let mut rig = MemberRig::new(list, rig_text(SERVICES, ADDRESSES, 0), seed);
-        rig.run(SETTLE);
+        rig.run(SETTLE_TIME);
         let count = rig.nodes.len();
         let mut run = Self {
-            steady_since: rig.now,
+            stable_since: rig.now,
             rig,
             history: MatrixHistory::default(),
             starts: vec![1; count],
-            held: vec![0; count],
+            applied: vec![0; count],
             newest: 0,
         };
-        run.look();
+        run.observe();
         run
     }
 
-    fn note(&mut self, event: MatrixEvent) {
-        self.history.note(self.rig.now, event);
+    fn record(&mut self, event: MatrixEvent) {
+        self.history.record(self.rig.now, event);
     }
 
-    fn take_step(&mut self, step: ConfigStep) {
+    fn execute_step(&mut self, step: ConfigStep) {
         match step {
             ConfigStep::Publish | ConfigStep::PublishAgain => self.publish(),
             ConfigStep::PublishInvalid => self.publish_invalid(),
@@ -181,7 +185,7 @@
                 self.publish();
                 self.publish();
             }
-            ConfigStep::Spread => {}
+            ConfigStep::Propagate => {}
         }
     }
 
@@ -189,23 +193,23 @@
         let change = u32::try_from(self.rig.platform.texts.len()).unwrap_or(0);
         let text = rig_text(SERVICES, ADDRESSES, change);
         let revision = self.rig.publish(text);
-        self.note(MatrixEvent::Published {
+        self.record(MatrixEvent::Published {
             revision,
             valid: true,
         });
     }
 
     fn publish_invalid(&mut self) {
-        let revision = self.rig.publish(INVALID.to_owned());
-        self.note(MatrixEvent::Published {
+        let revision = self.rig.publish(INVALID_TEXT.to_owned());
+        self.record(MatrixEvent::Published {
             revision,
             valid: false,
         });
     }
 
-    fn start(&mut self, fault: ConfigFault, step: ConfigStep) {
-        self.note(MatrixEvent::Fault(format!("{fault:?} at {step:?}")));
-        self.steady_since = self.rig.now;
+    fn start_fault(&mut self, fault: ConfigFault, step: ConfigStep) {
+        self.record(MatrixEvent::Fault(format!("{fault:?} at {step:?}")));
+        self.stable_since = self.rig.now;
         let rig = &mut self.rig;
         let zone = |name: &str| name.parse().expect("a valid name");
         match fault {
@@ -218,30 +222,30 @@
                 }
             }
             ConfigFault::LostFrames => rig.network.drop = 0.3,
-            ConfigFault::DoubledFrames => rig.network.duplicate = 0.9,
-            ConfigFault::LateFrames => rig.network.late = 0.7,
-            ConfigFault::ZoneCutOff | ConfigFault::ZoneCutOneWay => {
+            ConfigFault::DuplicatedFrames => rig.network.duplicate = 0.9,
+            ConfigFault::DelayedFrames => rig.network.late = 0.7,
+            ConfigFault::ZonePartitioned | ConfigFault::ZonePartitionedOneWay => {
                 for other in OTHER_ZONES {
-                    rig.cuts.push((zone(CUT_ZONE), zone(other)));
-                    if fault == ConfigFault::ZoneCutOff {
-                        rig.cuts.push((zone(other), zone(CUT_ZONE)));
+                    rig.cuts.push((zone(PARTITIONED_ZONE), zone(other)));
+                    if fault == ConfigFault::ZonePartitioned {
+                        rig.cuts.push((zone(other), zone(PARTITIONED_ZONE)));
                     }
                 }
-                rig.platform_cuts.push(zone(CUT_ZONE));
+                rig.platform_cuts.push(zone(PARTITIONED_ZONE));
                 rig.complete_watches();
             }
-            ConfigFault::HalfCutFromPlatform => {
+            ConfigFault::PlatformPartitioned => {
                 rig.platform_cuts.push(zone(OTHER_ZONES[0]));
                 rig.platform_cuts.push(zone(OTHER_ZONES[1]));
                 rig.complete_watches();
             }
-            ConfigFault::MemberSleeps => rig.nodes[SLEEPER].paused = true,
-            ConfigFault::MemberFresh => {
-                let zone = rig.nodes[SLEEPER].zone.clone();
-                let address = u32::try_from(SLEEPER).unwrap_or(0);
+            ConfigFault::MemberPaused => rig.nodes[AFFECTED_MEMBER].paused = true,
+            ConfigFault::MemberReplaced => {
+                let zone = rig.nodes[AFFECTED_MEMBER].zone.clone();
+                let address = u32::try_from(AFFECTED_MEMBER).unwrap_or(0);
                 rig.add_member(rig_address(address), zone, None);
-                self.starts[SLEEPER] += 1;
-                self.held[SLEEPER] = 0;
+                self.starts[AFFECTED_MEMBER] += 1;
+                self.applied[AFFECTED_MEMBER] = 0;
             }
             ConfigFault::ReadersKilled => {
                 let now = rig.now;
@@ -251,97 +255,100 @@
                     node.running = false;
                 }
             }
-            ConfigFault::InvalidBetween => self.publish_invalid(),
+            ConfigFault::InvalidPublished => self.publish_invalid(),
         }
     }
 
-    fn end(&mut self, fault: ConfigFault) {
-        self.steady_since = self.rig.now;
+    fn end_fault(&mut self, fault: ConfigFault) {
+        self.stable_since = self.rig.now;
         let rig = &mut self.rig;
         match fault {
             ConfigFault::PlatformDown | ConfigFault::PlatformStale => {
                 rig.set_platform(PlatformState::Up);
             }
-            ConfigFault::LostFrames | ConfigFault::DoubledFrames | ConfigFault::LateFrames => {
+            ConfigFault::LostFrames
+            | ConfigFault::DuplicatedFrames
+            | ConfigFault::DelayedFrames => {
                 rig.network = RigNetwork::default();
             }
-            ConfigFault::ZoneCutOff
-            | ConfigFault::ZoneCutOneWay
-            | ConfigFault::HalfCutFromPlatform => {
+            ConfigFault::ZonePartitioned
+            | ConfigFault::ZonePartitionedOneWay
+            | ConfigFault::PlatformPartitioned => {
                 rig.cuts.clear();
                 rig.platform_cuts.clear();
             }
-            ConfigFault::MemberSleeps => rig.nodes[SLEEPER].paused = false,
-            ConfigFault::MemberFresh | ConfigFault::ReadersKilled | ConfigFault::InvalidBetween => {
-            }
+            ConfigFault::MemberPaused => rig.nodes[AFFECTED_MEMBER].paused = false,
+            ConfigFault::MemberReplaced
+            | ConfigFault::ReadersKilled
+            | ConfigFault::InvalidPublished => {}
         }
     }
 
-    /// Lets time pass and looks at every member again and again.
-    fn watch(&mut self, time: Duration) {
+    /// Advances the simulation and observes the members at every interval.
+    fn run_for(&mut self, time: Duration) {
         let end = self.rig.now + time;
         while self.rig.now < end {
-            self.rig.run(LOOK);
-            self.look();
+            self.rig.run(CHECK_INTERVAL);
+            self.observe();
         }
     }
 
-    fn look(&mut self) {
+    fn observe(&mut self) {
         for node in 0..self.rig.nodes.len() {
             let view = self.rig.nodes[node].member.view();
             let revision = view.revision().0;
-            if !self.rig.nodes[node].running || revision == self.held[node] {
+            if !self.rig.nodes[node].running || revision == self.applied[node] {
                 continue;
             }
-            let sound = is_sound(view, &self.rig.platform.texts);
-            self.held[node] = revision;
+            let valid = is_as_published(view, &self.rig.platform.texts);
+            self.applied[node] = revision;
             let start = self.starts[node];
-            self.note(MatrixEvent::InForce {
+            self.record(MatrixEvent::ConfigApplied {
                 node,
                 start,
                 revision,
-                sound,
+                valid,
             });
         }
-        self.check_spread();
+        self.check_propagation();
     }
 
-    fn reachable(&self, node: usize) -> bool {
+    fn is_reachable(&self, node: usize) -> bool {
         let node = &self.rig.nodes[node];
-        let cut = self
+        let partitioned = self
             .rig
             .cuts
             .iter()
             .any(|(from, to)| *from == node.zone || *to == node.zone);
-        let cut_zone = node.zone.as_str() == CUT_ZONE && cut;
-        node.running && !node.paused && !cut_zone
+        let isolated = node.zone.as_str() == PARTITIONED_ZONE && partitioned;
+        node.running && !node.paused && !isolated
     }
 
-    /// The newest valid revision that anybody who can be reached holds or can read.
-    fn newest(&self) -> u64 {
-        let nodes = (0..self.held.len()).filter(|node| self.reachable(*node));
-        let held = nodes.map(|node| self.held[node]).max().unwrap_or(0);
+    /// The newest valid revision that a reachable member has applied or can read from the platform.
+    fn newest_reachable(&self) -> u64 {
+        let nodes = (0..self.applied.len()).filter(|node| self.is_reachable(*node));
+        let applied = nodes.map(|node| self.applied[node]).max().unwrap_or(0);
         if self.rig.platform.state != PlatformState::Up {
-            return held;
+            return applied;
         }
         let mut texts = self.rig.platform.texts.iter();
         let valid = texts.rposition(|text| ServiceText::parse(text).is_ok());
-        valid.map_or(0, |at| at as u64 + 1).max(held)
+        valid.map_or(0, |at| at as u64 + 1).max(applied)
     }
 
-    fn check_spread(&mut self) {
-        let newest = self.newest();
+    fn check_propagation(&mut self) {
+        let newest = self.newest_reachable();
         if newest != self.newest {
             self.newest = newest;
-            self.steady_since = self.rig.now;
+            self.stable_since = self.rig.now;
         }
-        let reachable_for = self.rig.now.since(self.steady_since);
-        if reachable_for < crate::promise::SPREAD_LIMIT {
+        let reachable_for = self.rig.now.since(self.stable_since);
+        if reachable_for < crate::guarantee::PROPAGATION_TIMEOUT {
             return;
         }
-        let nodes = (0..self.held.len()).filter(|node| self.reachable(*node));
-        let missing = nodes.filter(|node| self.held[*node] != newest).count();
-        self.note(MatrixEvent::SpreadDue {
+        let nodes = (0..self.applied.len()).filter(|node| self.is_reachable(*node));
+        let missing = nodes.filter(|node| self.applied[*node] != newest).count();
+        self.record(MatrixEvent::PropagationDue {
             revision: newest,
             missing,
             reachable_for,
@@ -349,8 +356,8 @@
     }
 }
 
-/// Whether a view holds what was published under its revision, and that is valid.
-fn is_sound(view: &FleetView, texts: &[String]) -> bool {
+/// Whether a view equals the text published as its revision and that text is valid.
+fn is_as_published(view: &FleetView, texts: &[String]) -> bool {
     let number = usize::try_from(view.revision().0).unwrap_or(0);
     let Some(published) = number.checked_sub(1).and_then(|at| texts.get(at)) else {
         return number == 0;
@@ -359,7 +366,7 @@
         return false;
     };
     parsed.services.iter().all(|service| {
-        let held = view.text().service(service.name.as_str());
-        held.is_some_and(|held| held.once == service.once)
+        let applied = view.text().service(service.name.as_str());
+        applied.is_some_and(|applied| applied.once == service.once)
     })
 }
--- a/tests/matrix/src/flows/fault.rs
+++ b/tests/matrix/src/flows/fault.rs
@@ -50,7 +50,7 @@
                 self.balancers[balancer].unreachable_agent = Some(holder);
             }
             FlowFault::HolderPaused => {
-                self.record(MatrixEvent::HeldWrongly {
+                self.record(MatrixEvent::WrongView {
                     agent: holder,
                     gone: false,
                 });
@@ -59,7 +59,7 @@
                 self.propagate();
             }
             FlowFault::HolderFalselyGone => {
-                self.record(MatrixEvent::HeldWrongly {
+                self.record(MatrixEvent::WrongView {
                     agent: holder,
                     gone: true,
                 });
@@ -98,7 +98,7 @@
                 self.propagate();
             }
             FlowFault::AddressMoved => {
-                self.record(MatrixEvent::AddressPassed);
+                self.record(MatrixEvent::AddressMoved);
                 self.fleet.address_service = MAPS;
                 self.fleet.revision += 1;
                 self.balancers[balancer].stale = true;
@@ -147,7 +147,7 @@
     fn announce_leaving(&mut self, agent: AgentAddress) {
         if self.running_agent(agent).is_some() {
             self.fleet.set_standing(agent, TargetStanding::Leaving);
-            self.record(MatrixEvent::LeavingSaid(agent));
+            self.record(MatrixEvent::LeavingAnnounced(agent));
             self.propagate();
         }
     }
@@ -234,7 +234,7 @@
             let agent = &mut self.agents[number];
             agent.running = false;
             let start = agent.start;
-            self.record(MatrixEvent::AgentEnded(start));
+            self.record(MatrixEvent::AgentCrashed(start));
         }
     }
 
--- a/tests/matrix/src/flows/world.rs
+++ b/tests/matrix/src/flows/world.rs
@@ -127,7 +127,7 @@
     }
 
     pub(crate) fn record(&mut self, event: MatrixEvent) {
-        self.history.note(self.queue.now(), event);
+        self.history.record(self.queue.now(), event);
     }
 
     fn handle(&mut self, event: FlowEvent) {
@@ -212,7 +212,7 @@
         let caller = self.caller(flow);
         if !caller.ended && caller.unacknowledged.contains(&number) {
             caller.ended = true;
-            self.record(MatrixEvent::FlowSilent { flow });
+            self.record(MatrixEvent::FlowTimedOut { flow });
         }
     }
 
@@ -269,9 +269,9 @@
                 reply,
             } => {
                 let flow = datagram.flow;
-                self.record(MatrixEvent::PacketTaken {
+                self.record(MatrixEvent::PacketAccepted {
                     flow,
-                    taker: start,
+                    receiver: start,
                     service,
                     open,
                 });
@@ -323,7 +323,9 @@
             .iter()
             .rev()
             .find_map(|(_, event)| match event {
-                MatrixEvent::PacketTaken { flow: 0, taker, .. } => Some(taker.agent),
+                MatrixEvent::PacketAccepted {
+                    flow: 0, receiver, ..
+                } => Some(receiver.agent),
                 _ => None,
             });
         holder
--- a/tests/matrix/src/history.rs
+++ b/tests/matrix/src/history.rs
@@ -1,4 +1,4 @@
-//! What happened in one run, and the promises as functions over it.
+//! The recorded history of one run.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -6,119 +6,118 @@
 use lovagelatch_domain::{AgentAddress, Moment, ServiceId};
 use lovagelatch_history::{BackendHistory, CallerRecord, RunFacts, check_run};
 
+use crate::guarantee::GUARANTEES;
 use crate::plan::RunHistory;
-use crate::promise::PROMISES;
 
-/// One start of an agent.
+/// One start of an agent process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AgentStart {
-    /// Where.
+    /// The address that the agent listens on.
     pub agent: AgentAddress,
-    /// Which start at that address.
+    /// Number of the start, counted from 1 per address.
     pub start: u64,
 }
 
-/// One thing that happened.
+/// One recorded event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MatrixEvent {
-    /// A fault began.
+    /// A fault was injected; the text names the fault and the step.
     Fault(String),
     /// A caller opened a flow.
     FlowOpened {
-        /// Its number.
+        /// Number of the flow.
         flow: u64,
-        /// The service it is for; `None` while the address passes from one to another.
+        /// The service that the flow is meant for; `None` while the address moves between services.
         service: Option<ServiceId>,
     },
-    /// The caller has the first answer of the agent that holds its flow from now on.
+    /// The caller received the first response of the agent that holds the flow from now on.
     FlowHeld {
-        /// Its number.
+        /// Number of the flow.
         flow: u64,
-        /// The holder.
+        /// The agent that holds the flow.
         holder: AgentStart,
     },
-    /// An agent's endpoint took a packet.
-    PacketTaken {
-        /// The flow it is of.
+    /// An agent's endpoint accepted a packet.
+    PacketAccepted {
+        /// Number of the flow.
         flow: u64,
-        /// Who took it.
-        taker: AgentStart,
-        /// The service of the taker.
+        /// The agent that accepted it.
+        receiver: AgentStart,
+        /// The service of the receiver.
         service: ServiceId,
-        /// Whether it was taken for a packet of an open flow.
+        /// Whether the endpoint treated it as a packet of an open flow.
         open: bool,
     },
-    /// The caller took a reset for genuine: its flow has ended.
+    /// The caller accepted a reset as valid, which ended the flow.
     FlowReset {
-        /// Its number.
+        /// Number of the flow.
         flow: u64,
     },
-    /// The caller heard nothing until its idle timeout.
-    FlowSilent {
-        /// Its number.
+    /// The caller received nothing until its idle timeout, which ended the flow.
+    FlowTimedOut {
+        /// Number of the flow.
         flow: u64,
     },
-    /// The service address passed to another service.
-    AddressPassed,
-    /// Two views are wrong about an agent that lives: a balancer holds it to be gone, or its
-    /// peers suspect it.
-    HeldWrongly {
-        /// The agent.
+    /// The service address moved to another service.
+    AddressMoved,
+    /// A view is wrong about a running agent: a balancer considers it gone, or its peers suspect it.
+    WrongView {
+        /// The running agent.
         agent: AgentAddress,
-        /// Whether it is held to be gone; else it is suspected.
+        /// Whether a balancer considers the agent gone; otherwise its peers suspect it.
         gone: bool,
     },
-    /// An agent ended without a word.
-    AgentEnded(AgentStart),
-    /// An instance said that it is leaving.
-    LeavingSaid(AgentAddress),
-    /// A new flow or a new request was taken.
-    WorkTaken(AgentAddress),
-    /// The platform accepted a text.
+    /// An agent ended without announcing that it leaves.
+    AgentCrashed(AgentStart),
+    /// An instance announced that it is leaving.
+    LeavingAnnounced(AgentAddress),
+    /// An instance accepted a new flow or a new request.
+    WorkAccepted(AgentAddress),
+    /// A configuration was published on the platform.
     Published {
-        /// Its revision.
+        /// Revision that the platform assigned.
         revision: u64,
-        /// Whether the text is valid.
+        /// Whether the text is a valid configuration.
         valid: bool,
     },
-    /// A node has another revision in force.
-    InForce {
-        /// The node.
+    /// A node applied another revision.
+    ConfigApplied {
+        /// Index of the node.
         node: usize,
-        /// Which start of it.
+        /// Number of the start of the node, counted from 1.
         start: u64,
-        /// The revision.
+        /// The revision now in force.
         revision: u64,
-        /// Whether its content is that of the published, valid text.
-        sound: bool,
+        /// Whether its content equals the published text and that text is valid.
+        valid: bool,
     },
-    /// The time within which all that can be reached must have the newest revision is over.
-    SpreadDue {
+    /// The time within which every reachable node must apply the newest revision has elapsed.
+    PropagationDue {
         /// The newest valid revision.
         revision: u64,
-        /// Nodes that can be reached and have it not.
+        /// Number of reachable nodes that have not applied it.
         missing: usize,
-        /// How long it has been possible to reach them.
+        /// How long the set of reachable nodes and the newest revision have been unchanged.
         reachable_for: Duration,
     },
 }
 
-/// What happened in one run.
+/// The recorded history of one run.
 #[derive(Clone, Debug, Default)]
 pub struct MatrixHistory {
-    /// What happened, in order.
+    /// Events in order of time.
     pub events: Vec<(Moment, MatrixEvent)>,
-    /// What callers saw, in the form of the launcher's histories.
+    /// What callers observed, in the record format of the launcher.
     pub callers: Vec<CallerRecord>,
-    /// What the backend servers did, in the same form.
+    /// What the backend servers did, in the same format.
     pub backends: Vec<BackendHistory>,
-    /// What the run itself did to callers and backend servers.
+    /// What the simulation itself did to callers and backend servers.
     pub facts: RunFacts,
 }
 
 impl MatrixHistory {
-    /// Notes what happened.
-    pub fn note(&mut self, now: Moment, event: MatrixEvent) {
+    /// Appends an event.
+    pub fn record(&mut self, now: Moment, event: MatrixEvent) {
         self.events.push((now, event));
     }
 
@@ -136,9 +135,8 @@
 }
 
 impl RunHistory for MatrixHistory {
-    /// How often each promise was broken; only the broken ones.
     fn violations(&self) -> BTreeMap<&'static str, usize> {
-        let mut counts: BTreeMap<&'static str, usize> = PROMISES
+        let mut counts: BTreeMap<&'static str, usize> = GUARANTEES
             .iter()
             .map(|(name, check)| (*name, check(self)))
             .collect();
@@ -158,7 +156,6 @@
         counts
     }
 
-    /// The last records as text.
     fn tail(&self, count: usize) -> String {
         let mut lines = last_lines(&self.events, count);
         lines.extend(last_lines(&self.callers, count));
@@ -168,21 +165,20 @@
         lines.join("\n")
     }
 
-    /// Flows that went silent because their holder died while it was leaving.
-    fn silent_since_leaving(&self) -> usize {
+    fn timeouts_after_leaving(&self) -> usize {
         let holders = self.holders();
         let mut leaving = BTreeSet::new();
         let mut ended = BTreeSet::new();
         let mut count = 0;
         for event in self.events() {
             match event {
-                MatrixEvent::LeavingSaid(agent) => {
+                MatrixEvent::LeavingAnnounced(agent) => {
                     leaving.insert(*agent);
                 }
-                MatrixEvent::AgentEnded(start) if leaving.contains(&start.agent) => {
+                MatrixEvent::AgentCrashed(start) if leaving.contains(&start.agent) => {
                     ended.insert(*start);
                 }
-                MatrixEvent::FlowSilent { flow } => {
+                MatrixEvent::FlowTimedOut { flow } => {
                     let holder = holders.get(flow);
                     count += usize::from(holder.is_some_and(|holder| ended.contains(holder)));
                 }
@@ -192,21 +188,24 @@
         count
     }
 
-    /// How many faults struck.
-    fn faults(&self) -> usize {
-        let fault = |event: &&MatrixEvent| matches!(event, MatrixEvent::Fault(_));
-        self.events().filter(fault).count()
+    fn injected_faults(&self) -> usize {
+        let is_fault = |event: &&MatrixEvent| matches!(event, MatrixEvent::Fault(_));
+        self.events().filter(is_fault).count()
     }
 
-    /// Flows that were reset while their holder ran, a balancer held it to be gone and its peers
+    /// Counts resets of flows whose holder ran while a balancer considered it gone and its peers
     /// suspected it.
-    fn cut_by_two_wrong_views(&self) -> usize {
+    fn resets_by_wrong_views(&self) -> usize {
         let wrong = |agent, wanted| {
             self.events().any(|event| {
-                let MatrixEvent::HeldWrongly { agent: held, gone } = event else {
+                let MatrixEvent::WrongView {
+                    agent: running,
+                    gone,
+                } = event
+                else {
                     return false;
                 };
-                *held == agent && *gone == wanted
+                *running == agent && *gone == wanted
             })
         };
         let holders = self.holders();
@@ -214,7 +213,7 @@
         let mut count = 0;
         for event in self.events() {
             match event {
-                MatrixEvent::AgentEnded(start) => {
+                MatrixEvent::AgentCrashed(start) => {
                     ended.insert(*start);
                 }
                 MatrixEvent::FlowReset { flow } => {
--- a/tests/matrix/src/leaving.rs
+++ b/tests/matrix/src/leaving.rs
@@ -1,8 +1,9 @@
-//! Leaving: no new work reaches an instance 3 s after its first notice, though the list lags.
+//! Leaving: no new work reaches an instance later than 3 s after its first announcement, even if the
+//! list still names it.
 //!
-//! From shortly before that limit on, every 200 ms, each balancer opens flows and each agent of
-//! the service places a request, with the view and the reports that its own member holds. What reaches the leaving agent is judged
-//! there as the agent judges it: it hands new flows on, and its gate refuses.
+//! From shortly before that limit, every 200 ms each balancer opens flows and each agent of the
+//! service places a request, using the view and the reports of its own member. The leaving agent
+//! handles what reaches it as in production: it forwards new flows, and its gate refuses requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -31,131 +32,131 @@
 const TARGETS: u32 = 5;
 const ZONES: u32 = 4;
 const SLOTS: u16 = 3;
-const SETTLE: Duration = Duration::from_secs(6);
-const LOOK: Duration = Duration::from_millis(200);
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a fault lasts, by the seed: within the limit, or beyond it.
-const FAULT_TIMES: [Duration; 2] = [Duration::from_millis(2_500), Duration::from_millis(4_500)];
+/// How long a fault lasts, depending on the seed: less or more than [`crate::LEAVING_GRACE`].
+const FAULT_DURATIONS: [Duration; 2] = [Duration::from_millis(2_500), Duration::from_millis(4_500)];
 
-const PATIENCE: Duration = Duration::from_secs(1);
-const FLOWS_A_LOOK: usize = 3;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+const FLOWS_PER_PROBE: usize = 3;
 
-/// What goes wrong while an instance leaves.
+/// A fault while an instance leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeavingFault {
-    /// Half of all datagrams are lost.
+    /// 50 % of the datagrams are lost.
     LostFrames,
-    /// Nearly all datagrams come twice.
-    DoubledFrames,
-    /// Most datagrams come up to a second late.
-    LateFrames,
-    /// A balancer stops and wakes with its old view.
-    BalancerSleeps,
-    /// A peer stops and wakes with its old view.
-    PeerSleeps,
-    /// The leaving agent stops and wakes.
-    LeaverSleeps,
-    /// The leaving agent's zone is cut off; callers and balancers of the zone still reach it.
-    ZoneCutOff,
-    /// The leaving agent's zone is not heard by the others.
-    ZoneUnheard,
-    /// Another agent of the service leaves too.
-    SecondLeaves,
-    /// All but one of the service leave.
-    MostLeave,
+    /// 90 % of the datagrams are duplicated.
+    DuplicatedFrames,
+    /// 70 % of the datagrams are delayed by up to one second.
+    DelayedFrames,
+    /// A balancer is paused and resumes with its old view.
+    BalancerPaused,
+    /// A peer is paused and resumes with its old view.
+    PeerPaused,
+    /// The leaving agent is paused and resumes.
+    LeavingAgentPaused,
+    /// The leaving agent's zone is partitioned; callers and balancers in the zone still reach it.
+    ZonePartitioned,
+    /// The other zones receive nothing from the leaving agent's zone.
+    ZonePartitionedOneWay,
+    /// A second agent of the service leaves as well.
+    SecondLeaving,
+    /// All agents of the service but one leave.
+    MostLeaving,
 }
 
-/// All of them.
+/// All faults of leaving.
 pub const LEAVING_FAULTS: [LeavingFault; 10] = [
     LeavingFault::LostFrames,
-    LeavingFault::DoubledFrames,
-    LeavingFault::LateFrames,
-    LeavingFault::BalancerSleeps,
-    LeavingFault::PeerSleeps,
-    LeavingFault::LeaverSleeps,
-    LeavingFault::ZoneCutOff,
-    LeavingFault::ZoneUnheard,
-    LeavingFault::SecondLeaves,
-    LeavingFault::MostLeave,
+    LeavingFault::DuplicatedFrames,
+    LeavingFault::DelayedFrames,
+    LeavingFault::BalancerPaused,
+    LeavingFault::PeerPaused,
+    LeavingFault::LeavingAgentPaused,
+    LeavingFault::ZonePartitioned,
+    LeavingFault::ZonePartitionedOneWay,
+    LeavingFault::SecondLeaving,
+    LeavingFault::MostLeaving,
 ];
 
-/// The steps of leaving, each a time before or after the first notice.
+/// A step of leaving, defined by its time relative to the first announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeavingStep {
-    /// A second before the first notice.
+    /// One second before the first announcement.
     Before,
-    /// With the first notice.
-    FirstWord,
-    /// Half a second later, while gossip carries it.
+    /// Together with the first announcement.
+    Announcement,
+    /// Half a second later, while gossip carries the announcement.
     Gossip,
-    /// A second and a half later, when heartbeats say it too.
+    /// One and a half seconds after the announcement, when heartbeats carry it too.
     Heartbeats,
-    /// Just before the limit of 3 s.
-    Limit,
-    /// After the limit; the list still names it.
-    ListLags,
+    /// Just before the limit of 3 s, [`crate::LEAVING_GRACE`].
+    GraceEnd,
+    /// After the limit, while the list still names the instance.
+    AfterGrace,
 }
 
-/// All of them, in order.
+/// All steps of leaving, in order.
 pub const LEAVING_STEPS: [LeavingStep; 6] = [
     LeavingStep::Before,
-    LeavingStep::FirstWord,
+    LeavingStep::Announcement,
     LeavingStep::Gossip,
     LeavingStep::Heartbeats,
-    LeavingStep::Limit,
-    LeavingStep::ListLags,
+    LeavingStep::GraceEnd,
+    LeavingStep::AfterGrace,
 ];
 
 impl LeavingStep {
-    /// Time until the next step.
-    fn lasts(self) -> Duration {
+    /// Returns the time until the next step.
+    fn duration(self) -> Duration {
         Duration::from_millis(match self {
-            Self::FirstWord => 500,
+            Self::Announcement => 500,
             Self::Before | Self::Gossip => 1_000,
             Self::Heartbeats => 1_400,
-            Self::Limit => 2_000,
-            Self::ListLags => 4_000,
+            Self::GraceEnd => 2_000,
+            Self::AfterGrace => 4_000,
         })
     }
 }
 
-/// What keeps the promise; each can be switched off.
+/// The mechanisms that uphold the guarantee; each can be disabled.
 #[derive(Clone, Copy, Debug)]
 pub struct LeavingMechanisms {
-    /// The leaving agent says so.
-    pub word: bool,
-    /// The leaving agent hands new flows on.
-    pub hand_on: bool,
-    /// The leaving agent's gate refuses.
+    /// The leaving agent announces that it leaves.
+    pub announcement: bool,
+    /// The leaving agent forwards new flows.
+    pub forward: bool,
+    /// The leaving agent's gate refuses requests.
     pub gate: bool,
 }
 
 impl Default for LeavingMechanisms {
     fn default() -> Self {
         Self {
-            word: true,
-            hand_on: true,
+            announcement: true,
+            forward: true,
             gate: true,
         }
     }
 }
 
-/// Plays the leaving of one instance under the faults of a plan.
+/// Runs the departure of one instance with the faults of a plan.
 #[must_use]
-pub fn play_leaving(
+pub fn run_leaving(
     plan: &FaultPlan<LeavingFault, LeavingStep>,
     mechanisms: LeavingMechanisms,
 ) -> MatrixHistory {
     let mut run = LeavingRun::new(plan.seed, mechanisms);
     for step in LEAVING_STEPS {
-        if step == LeavingStep::FirstWord {
-            run.leave(0);
+        if step == LeavingStep::Announcement {
+            run.start_leaving(0);
         }
         for fault in plan.faults_at(step) {
-            run.start(fault, step);
+            run.start_fault(fault, step);
         }
-        run.probing = matches!(step, LeavingStep::Limit | LeavingStep::ListLags);
-        run.watch(step.lasts());
+        run.probing = matches!(step, LeavingStep::GraceEnd | LeavingStep::AfterGrace);
+        run.run_for(step.duration());
     }
     run.history
 }
@@ -173,13 +174,13 @@
     rng: SmallRng,
     mechanisms: LeavingMechanisms,
     service: ServiceId,
-    /// The agents of the service; the first leaves.
+    /// The agents of the service; the first one leaves.
     agents: Vec<LeavingAgent>,
-    ends: Vec<(Moment, LeavingFault)>,
+    fault_ends: Vec<(Moment, LeavingFault)>,
     long_faults: bool,
-    /// Whether new work is offered now.
+    /// Whether new work is offered in the current step.
     probing: bool,
-    /// The routing tables of the members at this moment.
+    /// Routing tables by node, cached for the current interval.
     tables: HashMap<usize, RoutingTable>,
     history: MatrixHistory,
 }
@@ -193,9 +194,9 @@
         for node in &mut rig.nodes {
             node.member.set_report(report(GateCondition::Open));
         }
-        rig.run(SETTLE);
-        let own = targets.iter().filter(|target| target.service == name);
-        let agents = own.map(|target| {
+        rig.run(SETTLE_TIME);
+        let members = targets.iter().filter(|target| target.service == name);
+        let agents = members.map(|target| {
             let settings = PlacementSettings::new(target.agent, target.zone.clone());
             LeavingAgent {
                 address: target.agent,
@@ -211,7 +212,7 @@
             rng: SmallRng::seed_from_u64(seed),
             mechanisms,
             service: name.id(),
-            ends: Vec::new(),
+            fault_ends: Vec::new(),
             long_faults: seed % 2 == 1,
             probing: false,
             tables: HashMap::new(),
@@ -219,7 +220,7 @@
         }
     }
 
-    fn leave(&mut self, number: usize) {
+    fn start_leaving(&mut self, number: usize) {
         let now = self.rig.now;
         let agent = &mut self.agents[number];
         if agent.leaving {
@@ -229,79 +230,86 @@
         if self.mechanisms.gate {
             agent.gate.set_condition(GateCondition::Leaving, now);
         }
-        if self.mechanisms.word {
+        if self.mechanisms.announcement {
             let member = &mut self.rig.nodes[agent.node].member;
             member.set_report(report(GateCondition::Leaving));
             member.set_leaving(now);
         }
         let address = agent.address;
-        self.history.note(now, MatrixEvent::LeavingSaid(address));
+        self.history
+            .record(now, MatrixEvent::LeavingAnnounced(address));
     }
 
-    fn start(&mut self, fault: LeavingFault, step: LeavingStep) {
+    fn start_fault(&mut self, fault: LeavingFault, step: LeavingStep) {
         let now = self.rig.now;
         let text = format!("{fault:?} at {step:?}");
-        self.history.note(now, MatrixEvent::Fault(text));
-        let lasts = FAULT_TIMES[usize::from(self.long_faults)];
-        self.ends.push((now + lasts, fault));
-        let leaver = self.agents[0].node;
+        self.history.record(now, MatrixEvent::Fault(text));
+        let duration = FAULT_DURATIONS[usize::from(self.long_faults)];
+        self.fault_ends.push((now + duration, fault));
+        let leaving_node = self.agents[0].node;
         let rig = &mut self.rig;
         match fault {
             LeavingFault::LostFrames => rig.network.drop = 0.5,
-            LeavingFault::DoubledFrames => rig.network.duplicate = 0.9,
-            LeavingFault::LateFrames => rig.network.late = 0.7,
-            LeavingFault::BalancerSleeps => rig.nodes[1].paused = true,
-            LeavingFault::PeerSleeps => rig.nodes[self.agents[1].node].paused = true,
-            LeavingFault::LeaverSleeps => rig.nodes[leaver].paused = true,
-            LeavingFault::ZoneCutOff | LeavingFault::ZoneUnheard => {
-                let zone = rig.nodes[leaver].zone.clone();
+            LeavingFault::DuplicatedFrames => rig.network.duplicate = 0.9,
+            LeavingFault::DelayedFrames => rig.network.late = 0.7,
+            LeavingFault::BalancerPaused => rig.nodes[1].paused = true,
+            LeavingFault::PeerPaused => rig.nodes[self.agents[1].node].paused = true,
+            LeavingFault::LeavingAgentPaused => rig.nodes[leaving_node].paused = true,
+            LeavingFault::ZonePartitioned | LeavingFault::ZonePartitionedOneWay => {
+                let zone = rig.nodes[leaving_node].zone.clone();
                 let mut zones: Vec<_> = rig.nodes.iter().map(|node| node.zone.clone()).collect();
                 zones.sort_unstable();
                 zones.dedup();
                 for other in zones.into_iter().filter(|other| *other != zone) {
                     rig.cuts.push((zone.clone(), other.clone()));
-                    if fault == LeavingFault::ZoneCutOff {
+                    if fault == LeavingFault::ZonePartitioned {
                         rig.cuts.push((other, zone.clone()));
                     }
                 }
             }
-            LeavingFault::SecondLeaves => self.leave(1),
-            LeavingFault::MostLeave => (0..self.agents.len() - 1).for_each(|one| self.leave(one)),
+            LeavingFault::SecondLeaving => self.start_leaving(1),
+            LeavingFault::MostLeaving => {
+                (0..self.agents.len() - 1).for_each(|one| self.start_leaving(one));
+            }
         }
     }
 
-    fn end_due(&mut self) {
+    fn end_due_faults(&mut self) {
         let now = self.rig.now;
         let due: Vec<LeavingFault> = self
-            .ends
+            .fault_ends
             .iter()
             .filter(|(end, _)| *end <= now)
             .map(|(_, fault)| *fault)
             .collect();
-        self.ends.retain(|(end, _)| *end > now);
+        self.fault_ends.retain(|(end, _)| *end > now);
         for fault in due {
             match fault {
-                LeavingFault::BalancerSleeps => self.rig.nodes[1].paused = false,
-                LeavingFault::PeerSleeps => self.rig.nodes[self.agents[1].node].paused = false,
-                LeavingFault::LeaverSleeps => self.rig.nodes[self.agents[0].node].paused = false,
-                LeavingFault::ZoneCutOff | LeavingFault::ZoneUnheard => self.rig.cuts.clear(),
-                LeavingFault::SecondLeaves | LeavingFault::MostLeave => {}
+                LeavingFault::BalancerPaused => self.rig.nodes[1].paused = false,
+                LeavingFault::PeerPaused => self.rig.nodes[self.agents[1].node].paused = false,
+                LeavingFault::LeavingAgentPaused => {
+                    self.rig.nodes[self.agents[0].node].paused = false;
+                }
+                LeavingFault::ZonePartitioned | LeavingFault::ZonePartitionedOneWay => {
+                    self.rig.cuts.clear();
+                }
+                LeavingFault::SecondLeaving | LeavingFault::MostLeaving => {}
                 _ => self.rig.network = RigNetwork::default(),
             }
         }
     }
 
-    fn watch(&mut self, time: Duration) {
+    fn run_for(&mut self, time: Duration) {
         let end = self.rig.now + time;
         while self.rig.now < end {
-            self.rig.run(LOOK);
-            self.end_due();
+            self.rig.run(PROBE_INTERVAL);
+            self.end_due_faults();
             self.tables.clear();
             if !self.probing {
                 continue;
             }
             for balancer in 0..BALANCERS as usize {
-                for _ in 0..FLOWS_A_LOOK {
+                for _ in 0..FLOWS_PER_PROBE {
                     self.open_flow(balancer);
                 }
             }
@@ -311,22 +319,22 @@
         }
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         let (from, to) = (&self.rig.nodes[from], &self.rig.nodes[to]);
         let pair = (from.zone.clone(), to.zone.clone());
         from.running && !from.paused && to.running && !self.rig.cuts.contains(&pair)
     }
 
-    fn table_of(&mut self, node: usize) -> RoutingTable {
+    fn table_for(&mut self, node: usize) -> RoutingTable {
         let view = self.rig.nodes[node].member.view();
         let make = || RoutingTable::from_view(view, &RoutingTable::default());
         self.tables.entry(node).or_insert_with(make).clone()
     }
 
-    /// A balancer places a new flow by its own view.
+    /// Places a new flow from a balancer, using its own view.
     fn open_flow(&mut self, balancer: usize) {
         let key: [u8; 8] = self.rng.random();
-        let table = self.table_of(balancer);
+        let table = self.table_for(balancer);
         let Some(address) = self.service_address(balancer) else {
             return;
         };
@@ -337,7 +345,7 @@
         };
         let decision = FlowRouter::new().route(&packet, &table);
         if let RouteDecision::NewFlow { agent, .. } = decision {
-            self.arrive(balancer, agent, packet, 0);
+            self.handle_new_flow(balancer, agent, packet, 0);
         }
     }
 
@@ -347,16 +355,16 @@
         Some(service.addresses.first()?.address)
     }
 
-    /// The agent that a new flow reached takes it or hands it on.
-    fn arrive(&mut self, from: usize, to: AgentAddress, packet: PacketView<'_>, hops: u8) {
+    /// Handles a new flow at an agent, which accepts or forwards it.
+    fn handle_new_flow(&mut self, from: usize, to: AgentAddress, packet: PacketView<'_>, hops: u8) {
         let found = self.agents.iter().position(|agent| agent.address == to);
         let Some(number) = found else { return };
         let agent = &self.agents[number];
         let node = agent.node;
-        if !self.reaches(from, node) || self.rig.nodes[node].paused {
+        if !self.can_reach(from, node) || self.rig.nodes[node].paused {
             return;
         }
-        let admission = match agent.leaving && self.mechanisms.hand_on {
+        let admission = match agent.leaving && self.mechanisms.forward {
             true => FlowAdmission::Leaving,
             false => FlowAdmission::Accepting,
         };
@@ -367,18 +375,20 @@
             hops,
             admission,
         };
-        let table = self.table_of(node);
+        let table = self.table_for(node);
         match FlowRouter::new().route_arrival(&arrival, to, self.service, &table) {
             ArrivalDecision::Accept => {
                 let now = self.rig.now;
-                self.history.note(now, MatrixEvent::WorkTaken(to));
+                self.history.record(now, MatrixEvent::WorkAccepted(to));
+            }
+            ArrivalDecision::Forward { agent } => {
+                self.handle_new_flow(node, agent, packet, hops + 1);
             }
-            ArrivalDecision::Forward { agent } => self.arrive(node, agent, packet, hops + 1),
             _ => {}
         }
     }
 
-    /// An agent places a request that came over one of its flows, a leaving one too.
+    /// Places a request that arrived on one of an agent's flows, even if the agent is leaving.
     fn place_request(&mut self, number: usize) {
         let now = self.rig.now;
         let node = self.agents[number].node;
@@ -387,8 +397,10 @@
         }
         let peers = self.rig.nodes[node].member.peer_reports(now);
         let agent = &mut self.agents[number];
-        let own = agent.gate.report(now);
-        let choice = agent.placement.choose(&own, &peers, &[], PATIENCE, now);
+        let own_report = agent.gate.report(now);
+        let choice = agent
+            .placement
+            .choose(&own_report, &peers, &[], REQUEST_TIMEOUT, now);
         let to = match choice {
             PlacementChoice::Own => number,
             PlacementChoice::Peer(peer) => {
@@ -399,13 +411,14 @@
             PlacementChoice::Refuse { .. } => return,
         };
         let to_node = self.agents[to].node;
-        let there = to == number || self.reaches(node, to_node) && !self.rig.nodes[to_node].paused;
-        if there {
-            self.offer(to);
+        let is_delivered =
+            to == number || self.can_reach(node, to_node) && !self.rig.nodes[to_node].paused;
+        if is_delivered {
+            self.offer_request(to);
         }
     }
 
-    fn offer(&mut self, number: usize) {
+    fn offer_request(&mut self, number: usize) {
         let now = self.rig.now;
         let attempt = AttemptId(self.rng.random());
         let agent = &mut self.agents[number];
@@ -413,12 +426,12 @@
             attempt,
             agency: None,
             arrived: now,
-            deadline: now + PATIENCE,
+            deadline: now + REQUEST_TIMEOUT,
         };
         if agent.gate.offer(request, now) == GateVerdict::Start {
             agent.gate.finish(attempt, SlotOutcome::Served, now);
             let address = agent.address;
-            self.history.note(now, MatrixEvent::WorkTaken(address));
+            self.history.record(now, MatrixEvent::WorkAccepted(address));
         }
     }
 }
--- a/tests/matrix/src/opaque/client.rs
+++ b/tests/matrix/src/opaque/client.rs
@@ -1,4 +1,4 @@
-//! A fake client: opens flows, sends requests, repeats packets, retries requests.
+//! A fake client, which opens flows, sends requests, retransmits packets and retries requests.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -6,84 +6,86 @@
 
 use super::network::Packet;
 
-/// Milliseconds after which copies of a first packet are sent.
-const COPIES: [u64; 2] = [200, 600];
+/// Delays after which copies of a first packet are sent.
+const OPENING_COPY_DELAYS_MS: [u64; 2] = [200, 600];
 
-/// Milliseconds after which a flow that did not open is given up.
-const OPEN_LIMIT: u64 = 1_400;
+/// Time after which the client gives up a flow that has not opened.
+const OPEN_TIMEOUT_MS: u64 = 1_400;
 
-/// Milliseconds after which a request is given up.
-const DEADLINE: u64 = 3_000;
+/// Time after which the client gives up a request.
+const REQUEST_TIMEOUT_MS: u64 = 3_000;
 
-/// Milliseconds between a response and the next request.
-const PAUSE: u64 = 150;
+/// Time between a response and the next request.
+const REQUEST_INTERVAL_MS: u64 = 150;
 
-/// After so many responses a client pauses for long.
-const PAUSE_AFTER: u64 = 20;
+/// Number of responses after which a client makes a long pause.
+const LONG_PAUSE_AFTER_RESPONSES: u64 = 20;
 
-/// Milliseconds of that pause.
-const LONG_PAUSE: u64 = 4_500;
+/// Duration of the long pause.
+const LONG_PAUSE_MS: u64 = 4_500;
 
-/// Tries of a request beside the first.
-const RETRIES: u32 = 2;
+/// Number of retries of a request.
+const MAX_RETRIES: u32 = 2;
 
-/// The first copy of a request is sent again after so many milliseconds, then after twice as many.
-const REPEAT: u64 = 200;
+/// Delay of the first retransmission of a request; it doubles with every retransmission.
+const RETRANSMIT_DELAY_MS: u64 = 200;
 
-/// How far from the expected number a reset may be.
+/// Largest distance of an accepted reset from the expected sequence number.
 const RESET_WINDOW: u32 = 76_800;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FlowPhase {
     None,
     Opening,
-    /// Open, with the target's number.
+    /// Open; holds the target's initial sequence number.
     Open(u32),
 }
 
-/// When something is to be done.
+/// A timer of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientTimer {
-    /// Send the next request.
-    Next,
-    /// A copy of the first packet, if that is still the flow.
-    Copy(u16, u32),
-    /// Give up opening.
-    GiveUpOpening(u16),
-    /// Send the request again, if it is still under way on that flow.
-    Repeat(u16, u64, u64),
-    /// Give the request up.
-    Deadline(u64),
+    /// Sends the next request.
+    NextRequest,
+    /// Sends a copy of the first packet: port of the flow, number of the copy.
+    OpeningCopy(u16, u32),
+    /// Gives up a flow that has not opened: port of the flow.
+    OpenTimeout(u16),
+    /// Retransmits a request that is still in flight: port of the flow, request, previous delay.
+    Retransmit(u16, u64, u64),
+    /// Gives up a request.
+    RequestTimeout(u64),
 }
 
-/// What a client does.
+/// An action of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientAction {
     Send(Packet),
-    Timer(u64, ClientTimer),
-    /// A request begins.
-    Begin(u64),
+    /// Sets a timer that fires after this many milliseconds.
+    SetTimer(u64, ClientTimer),
+    /// Reports that a request starts.
+    RequestStarted(u64),
     Served(u64),
     Failed(u64),
-    /// A step of its flow begins.
-    Step(super::OpaqueStep),
+    /// Reports that its flow reaches a step.
+    StepReached(super::OpaqueStep),
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Client {
     number: u8,
     service_address: SocketAddrV4,
-    /// Whether its requests may be run again.
+    /// Whether its requests are idempotent, so that they may be retried after a lost flow.
     pub(crate) idempotent: bool,
     port: u16,
     phase: FlowPhase,
-    /// The request under way, and how many tries are left.
+    /// The request in flight.
     request: Option<u64>,
+    /// Remaining retries of the request.
     retries: u32,
-    sent: u32,
+    bytes_sent: u32,
     pub(crate) served: u64,
     next_request: u64,
-    limit: u64,
+    max_requests: u64,
 }
 
 impl Client {
@@ -91,7 +93,7 @@
         number: u8,
         service_address: SocketAddrV4,
         idempotent: bool,
-        limit: u64,
+        max_requests: u64,
     ) -> Self {
         Self {
             number,
@@ -101,10 +103,10 @@
             phase: FlowPhase::None,
             request: None,
             retries: 0,
-            sent: 0,
+            bytes_sent: 0,
             served: 0,
             next_request: u64::from(number) * 100_000 + u64::from(!idempotent),
-            limit,
+            max_requests,
         }
     }
 
@@ -119,43 +121,43 @@
         flow.client.ip().octets()[3] == self.number
     }
 
-    /// Whether the flow is this client's present one and is open.
+    /// Whether the flow is this client's current one and is open.
     pub(crate) fn has_open(&self, flow: &FlowKey) -> bool {
         *flow == self.flow() && matches!(self.phase, FlowPhase::Open(_))
     }
 
-    pub(crate) fn begin(&mut self) -> Vec<ClientAction> {
-        if self.next_request / 2 % 50_000 >= self.limit {
+    pub(crate) fn start_request(&mut self) -> Vec<ClientAction> {
+        if self.next_request / 2 % 50_000 >= self.max_requests {
             return Vec::new();
         }
         let request = self.next_request;
         self.next_request += 2;
         self.request = Some(request);
-        self.retries = RETRIES;
-        let deadline = ClientTimer::Deadline(request);
+        self.retries = MAX_RETRIES;
+        let deadline = ClientTimer::RequestTimeout(request);
         let mut actions = vec![
-            ClientAction::Begin(request),
-            ClientAction::Timer(DEADLINE, deadline),
+            ClientAction::RequestStarted(request),
+            ClientAction::SetTimer(REQUEST_TIMEOUT_MS, deadline),
         ];
         actions.extend(self.send_request());
         actions
     }
 
-    /// Sends the request on the open flow, or opens one.
+    /// Sends the request on the open flow, or opens a flow first.
     fn send_request(&mut self) -> Vec<ClientAction> {
         match (self.request, self.phase) {
-            (Some(request), FlowPhase::Open(number)) => {
-                self.sent += 100;
+            (Some(request), FlowPhase::Open(initial_sequence)) => {
+                self.bytes_sent += 100;
                 let step = if self.served == 0 {
                     super::OpaqueStep::Request
                 } else {
                     super::OpaqueStep::LaterRequest
                 };
-                let repeat = ClientTimer::Repeat(self.port, request, REPEAT);
+                let retransmit = ClientTimer::Retransmit(self.port, request, RETRANSMIT_DELAY_MS);
                 vec![
-                    ClientAction::Step(step),
-                    ClientAction::Send(self.request_packet(request, number)),
-                    ClientAction::Timer(REPEAT, repeat),
+                    ClientAction::StepReached(step),
+                    ClientAction::Send(self.request_packet(request, initial_sequence)),
+                    ClientAction::SetTimer(RETRANSMIT_DELAY_MS, retransmit),
                 ]
             }
             (Some(_), _) => self.open(),
@@ -166,35 +168,35 @@
     fn open(&mut self) -> Vec<ClientAction> {
         self.port += 1;
         self.phase = FlowPhase::Opening;
-        self.sent = 0;
+        self.bytes_sent = 0;
         let mut actions = vec![
-            ClientAction::Step(super::OpaqueStep::Opening),
-            ClientAction::Send(self.opening(0)),
-            ClientAction::Timer(OPEN_LIMIT, ClientTimer::GiveUpOpening(self.port)),
+            ClientAction::StepReached(super::OpaqueStep::Opening),
+            ClientAction::Send(self.opening_packet(0)),
+            ClientAction::SetTimer(OPEN_TIMEOUT_MS, ClientTimer::OpenTimeout(self.port)),
         ];
-        for (copy, after) in (1..).zip(COPIES) {
-            actions.push(ClientAction::Timer(
+        for (copy, after) in (1..).zip(OPENING_COPY_DELAYS_MS) {
+            actions.push(ClientAction::SetTimer(
                 after,
-                ClientTimer::Copy(self.port, copy),
+                ClientTimer::OpeningCopy(self.port, copy),
             ));
         }
         actions
     }
 
-    pub(crate) fn timer(&mut self, timer: ClientTimer) -> Vec<ClientAction> {
+    pub(crate) fn handle_timer(&mut self, timer: ClientTimer) -> Vec<ClientAction> {
         match timer {
-            ClientTimer::Next => self.begin(),
-            ClientTimer::Copy(port, copy) if self.is_opening(port) => {
-                vec![ClientAction::Send(self.opening(copy))]
+            ClientTimer::NextRequest => self.start_request(),
+            ClientTimer::OpeningCopy(port, copy) if self.is_opening(port) => {
+                vec![ClientAction::Send(self.opening_packet(copy))]
             }
-            ClientTimer::GiveUpOpening(port) if self.is_opening(port) => self.flow_ended(false),
-            ClientTimer::Repeat(port, request, after) => self.repeat(port, request, after),
-            ClientTimer::Deadline(request) if self.request == Some(request) => {
+            ClientTimer::OpenTimeout(port) if self.is_opening(port) => self.flow_ended(false),
+            ClientTimer::Retransmit(port, request, after) => self.retransmit(port, request, after),
+            ClientTimer::RequestTimeout(request) if self.request == Some(request) => {
                 self.request = None;
                 self.phase = FlowPhase::None;
                 vec![
                     ClientAction::Failed(request),
-                    ClientAction::Timer(PAUSE, ClientTimer::Next),
+                    ClientAction::SetTimer(REQUEST_INTERVAL_MS, ClientTimer::NextRequest),
                 ]
             }
             _ => Vec::new(),
@@ -205,8 +207,8 @@
         port == self.port && self.phase == FlowPhase::Opening
     }
 
-    fn repeat(&mut self, port: u16, request: u64, after: u64) -> Vec<ClientAction> {
-        let FlowPhase::Open(number) = self.phase else {
+    fn retransmit(&mut self, port: u16, request: u64, after: u64) -> Vec<ClientAction> {
+        let FlowPhase::Open(initial_sequence) = self.phase else {
             return Vec::new();
         };
         if port != self.port || self.request != Some(request) {
@@ -214,46 +216,50 @@
         }
         let next = after * 2;
         vec![
-            ClientAction::Send(self.request_packet(request, number)),
-            ClientAction::Timer(next, ClientTimer::Repeat(port, request, next)),
+            ClientAction::Send(self.request_packet(request, initial_sequence)),
+            ClientAction::SetTimer(next, ClientTimer::Retransmit(port, request, next)),
         ]
     }
 
-    pub(crate) fn take(&mut self, packet: &Packet) -> Vec<ClientAction> {
+    pub(crate) fn handle_packet(&mut self, packet: &Packet) -> Vec<ClientAction> {
         if packet.head.flow != self.flow() {
             return Vec::new();
         }
         if packet.head.flags.rst {
-            return self.take_reset(packet.head.sequence);
+            return self.handle_reset(packet.head.sequence);
         }
         if packet.head.flags.syn {
             if self.phase != FlowPhase::Opening {
                 return Vec::new();
             }
             self.phase = FlowPhase::Open(packet.head.sequence);
-            let mut actions = vec![ClientAction::Step(super::OpaqueStep::Answer)];
+            let mut actions = vec![ClientAction::StepReached(super::OpaqueStep::OpeningReply)];
             actions.extend(self.send_request());
             return actions;
         }
-        self.take_response(packet)
+        self.handle_response(packet)
     }
 
-    fn take_response(&mut self, packet: &Packet) -> Vec<ClientAction> {
-        let FlowPhase::Open(number) = self.phase else {
+    fn handle_response(&mut self, packet: &Packet) -> Vec<ClientAction> {
+        let FlowPhase::Open(initial_sequence) = self.phase else {
             return Vec::new();
         };
-        let mut actions = vec![ClientAction::Send(self.acknowledgement(number))];
+        let mut actions = vec![ClientAction::Send(self.acknowledgement(initial_sequence))];
         if packet.request.is_some() && packet.request == self.request {
             let request = self.request.take().unwrap_or_default();
             self.served += 1;
             actions.push(ClientAction::Served(request));
-            actions.push(ClientAction::Step(super::OpaqueStep::Response));
-            let rests = self.served == PAUSE_AFTER;
-            let pause = if rests { LONG_PAUSE } else { PAUSE };
-            if rests {
-                actions.push(ClientAction::Step(super::OpaqueStep::Pause));
+            actions.push(ClientAction::StepReached(super::OpaqueStep::Response));
+            let is_long_pause = self.served == LONG_PAUSE_AFTER_RESPONSES;
+            let pause = if is_long_pause {
+                LONG_PAUSE_MS
+            } else {
+                REQUEST_INTERVAL_MS
+            };
+            if is_long_pause {
+                actions.push(ClientAction::StepReached(super::OpaqueStep::LongPause));
             }
-            actions.push(ClientAction::Timer(pause, ClientTimer::Next));
+            actions.push(ClientAction::SetTimer(pause, ClientTimer::NextRequest));
         }
         if packet.head.flags.fin {
             self.phase = FlowPhase::None;
@@ -261,13 +267,13 @@
         actions
     }
 
-    pub(crate) fn take_reset(&mut self, number: u32) -> Vec<ClientAction> {
+    pub(crate) fn handle_reset(&mut self, sequence: u32) -> Vec<ClientAction> {
         match self.phase {
             FlowPhase::None => Vec::new(),
             FlowPhase::Opening => self.flow_ended(false),
             FlowPhase::Open(expected) => {
-                let near = number.wrapping_sub(expected).wrapping_add(RESET_WINDOW);
-                if near <= 2 * RESET_WINDOW {
+                let offset = sequence.wrapping_sub(expected).wrapping_add(RESET_WINDOW);
+                if offset <= 2 * RESET_WINDOW {
                     self.flow_ended(true)
                 } else {
                     Vec::new()
@@ -276,35 +282,35 @@
         }
     }
 
-    /// The flow is gone; `opened` says whether it had opened.
+    /// Handles the end of the flow; `opened` says whether it had been open.
     fn flow_ended(&mut self, opened: bool) -> Vec<ClientAction> {
         self.phase = FlowPhase::None;
         let Some(request) = self.request else {
             return Vec::new();
         };
-        let may_repeat = self.idempotent || !opened;
-        if may_repeat && self.retries > 0 {
+        let may_retry = self.idempotent || !opened;
+        if may_retry && self.retries > 0 {
             self.retries -= 1;
             return self.open();
         }
         self.request = None;
         vec![
             ClientAction::Failed(request),
-            ClientAction::Timer(PAUSE, ClientTimer::Next),
+            ClientAction::SetTimer(REQUEST_INTERVAL_MS, ClientTimer::NextRequest),
         ]
     }
 
-    /// Whether this is the flow that the client uses now.
+    /// Whether the flow is this client's current one.
     pub(crate) fn is_current(&self, flow: &FlowKey) -> bool {
         *flow == self.flow()
     }
 
-    fn opening(&self, copy: u32) -> Packet {
-        Self::opening_of(self.flow(), copy)
+    fn opening_packet(&self, copy: u32) -> Packet {
+        Self::opening_packet_for(self.flow(), copy)
     }
 
-    /// A flow's first packet, the `copy`-th.
-    pub(crate) fn opening_of(flow: FlowKey, copy: u32) -> Packet {
+    /// Returns the first packet of a flow; `copy` is 0 for the original and distinguishes its copies.
+    pub(crate) fn opening_packet_for(flow: FlowKey, copy: u32) -> Packet {
         let head = FlowPacket {
             flow,
             flags: PacketFlags {
@@ -322,23 +328,23 @@
         }
     }
 
-    fn request_packet(&self, request: u64, number: u32) -> Packet {
-        let mut packet = self.acknowledgement(number);
-        packet.head.sequence = 1_000 + self.sent;
+    fn request_packet(&self, request: u64, initial_sequence: u32) -> Packet {
+        let mut packet = self.acknowledgement(initial_sequence);
+        packet.head.sequence = 1_000 + self.bytes_sent;
         packet.head.data_bytes = 100;
         packet.request = Some(request);
         packet
     }
 
-    fn acknowledgement(&self, number: u32) -> Packet {
+    fn acknowledgement(&self, initial_sequence: u32) -> Packet {
         let head = FlowPacket {
             flow: self.flow(),
             flags: PacketFlags {
                 ack: true,
                 ..PacketFlags::default()
             },
-            sequence: 1_000 + self.sent,
-            acknowledged: number.wrapping_add(1),
+            sequence: 1_000 + self.bytes_sent,
+            acknowledged: initial_sequence.wrapping_add(1),
             data_bytes: 0,
             tag: 0,
         };
--- a/tests/matrix/src/opaque/history.rs
+++ b/tests/matrix/src/opaque/history.rs
@@ -1,4 +1,4 @@
-//! What happened to opaque flows, and the promises as functions over it.
+//! The recorded history of opaque flows, and the guarantees as checks over it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,108 +8,107 @@
 
 use crate::plan::RunHistory;
 
-/// For how long an open flow's packets may reach others and not its target.
-const STRAY_SPAN: Duration = Duration::from_secs(2);
+/// How long the packets of an open flow may be delivered only to targets that do not hold it.
+const STRAY_WINDOW: Duration = Duration::from_secs(2);
 
-/// So many of them within that time are too many.
-const STRAY_PACKETS: usize = 3;
+/// Number of such packets in sequence that counts as a violation.
+const STRAY_PACKET_THRESHOLD: usize = 3;
 
-/// How long after its announcement a leaving target may be given a flow.
+/// How long after its announcement a leaving target may still accept a flow.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
-/// The number of one start of a target.
+/// Number of one start of a target, unique within a run.
 pub type TargetStart = u32;
 
-/// One thing that happened.
+/// One recorded event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpaqueEvent {
-    /// A fault began.
+    /// A fault was injected; the text names the fault and the step.
     Fault(String),
-    /// A target took a flow's first packet.
+    /// A target accepted the first packet of a flow.
     Accepted {
         /// The flow.
         flow: FlowKey,
         /// The target.
         target: TargetStart,
-        /// Its service.
+        /// The service of the target.
         service: ServiceId,
-        /// Whether a configuration ever sent the flow's address there.
+        /// Whether any configuration of the run routed the flow's address to the service.
         allowed: bool,
-        /// Whether its zone had been evacuated for longer than anybody needs to hear of it.
+        /// Whether its zone had been evacuated for longer than every process needs to learn of it.
         evacuated: bool,
     },
-    /// The flow opened at a target.
+    /// A flow completed its opening at a target.
     Opened {
         /// The flow.
         flow: FlowKey,
         /// The target.
         target: TargetStart,
     },
-    /// A packet of an open flow reached a target.
-    Reached {
+    /// A packet of an open flow was delivered to a target.
+    Delivered {
         /// The flow.
         flow: FlowKey,
         /// The target.
         target: TargetStart,
     },
-    /// The system reset a flow that had opened. `reachable`: its target lived, and its agent ran
-    /// and could be reached.
+    /// The system reset an open flow.
     ResetOpen {
         /// The flow.
         flow: FlowKey,
-        /// Whether that was wrong.
+        /// Whether the flow's target and agent ran and could be reached, so that the reset was wrong.
         reachable: bool,
     },
-    /// The system reset a flow before it opened.
-    ResetBefore {
+    /// The system reset a flow before it was open.
+    ResetUnopened {
         /// The flow.
         flow: FlowKey,
     },
-    /// A target, its agent or the way there was disturbed until now.
-    Disturbed {
+    /// A target, its agent or the path to it is disrupted at this time.
+    Disrupted {
         /// The target.
         target: TargetStart,
     },
-    /// A target ended or lost its flows.
+    /// A target ended, which lost its flows.
     Ended {
         /// The target.
         target: TargetStart,
     },
-    /// A target said that it leaves.
+    /// A target announced that it is leaving.
     Leaving {
         /// The target.
         target: TargetStart,
     },
-    /// A target began to run a request.
+    /// A target started to run a request.
     Ran {
-        /// The request.
+        /// Number of the request; requests with even numbers are idempotent.
         request: u64,
-        /// The flow it came on.
+        /// The flow that it arrived on.
         flow: FlowKey,
     },
-    /// A client was served.
+    /// A client received the response to a request.
     Served {
-        /// The request.
+        /// Number of the request.
         request: u64,
     },
-    /// A client gave a request up.
+    /// A client gave up a request.
     Failed {
-        /// The request.
+        /// Number of the request.
         request: u64,
-        /// Whether it began after everything had healed.
-        after_healing: bool,
+        /// Whether the request was sent after the system should have recovered from all faults.
+        after_recovery: bool,
     },
 }
 
-/// What happened in one run.
+/// The recorded history of one run.
 #[derive(Clone, Debug, Default)]
 pub struct OpaqueHistory {
     events: Vec<(Moment, OpaqueEvent)>,
 }
 
-type Promise = (&'static str, fn(&OpaqueHistory) -> usize);
+type NamedCheck = (&'static str, fn(&OpaqueHistory) -> usize);
 
-const PROMISES: [Promise; 8] = [
+const GUARANTEES: [NamedCheck; 8] = [
     ("open_flow_reset", open_flow_reset),
     ("strayed", strayed),
     ("wrong_service", wrong_service),
@@ -121,11 +120,11 @@
 ];
 
 impl OpaqueHistory {
-    pub(crate) fn note(&mut self, now: Moment, event: OpaqueEvent) {
+    pub(crate) fn record(&mut self, now: Moment, event: OpaqueEvent) {
         self.events.push((now, event));
     }
 
-    /// Requests that were served and that failed.
+    /// Returns the numbers of served and of failed requests.
     #[must_use]
     pub fn outcomes(&self) -> (usize, usize) {
         let count = |wanted: fn(&OpaqueEvent) -> bool| {
@@ -141,29 +140,29 @@
 
 impl RunHistory for OpaqueHistory {
     fn violations(&self) -> BTreeMap<&'static str, usize> {
-        let checked = PROMISES.iter().map(|(name, check)| (*name, check(self)));
+        let checked = GUARANTEES.iter().map(|(name, check)| (*name, check(self)));
         checked.filter(|(_, count)| *count > 0).collect()
     }
 
-    fn faults(&self) -> usize {
-        let fault = |(_, event): &&(Moment, OpaqueEvent)| matches!(event, OpaqueEvent::Fault(_));
-        self.events.iter().filter(fault).count()
+    fn injected_faults(&self) -> usize {
+        let is_fault = |(_, event): &&(Moment, OpaqueEvent)| matches!(event, OpaqueEvent::Fault(_));
+        self.events.iter().filter(is_fault).count()
     }
 
     fn tail(&self, count: usize) -> String {
-        // What happens all the time hides what matters.
-        let telling = self.events.iter().filter(|(_, event)| {
+        // Frequent routine events would hide the relevant ones.
+        let relevant = self.events.iter().filter(|(_, event)| {
             !matches!(
                 event,
-                OpaqueEvent::Reached { .. }
+                OpaqueEvent::Delivered { .. }
                     | OpaqueEvent::Ran { .. }
                     | OpaqueEvent::Served { .. }
-                    | OpaqueEvent::Disturbed { .. }
+                    | OpaqueEvent::Disrupted { .. }
             )
         });
-        let telling: Vec<_> = telling.collect();
-        let first = telling.len().saturating_sub(count);
-        let lines = telling[first..].iter().map(|(now, event)| {
+        let relevant: Vec<_> = relevant.collect();
+        let first = relevant.len().saturating_sub(count);
+        let lines = relevant[first..].iter().map(|(now, event)| {
             let millis = now.as_micros() / 1_000;
             format!("  {millis} {event:?}")
         });
@@ -171,7 +170,7 @@
     }
 }
 
-/// Open flows that the system reset while their targets could be reached.
+/// Counts open flows that the system reset while their targets were reachable.
 fn open_flow_reset(history: &OpaqueHistory) -> usize {
     let wrong = |(_, event): &&(Moment, OpaqueEvent)| {
         matches!(
@@ -185,42 +184,43 @@
     history.events.iter().filter(wrong).count()
 }
 
-/// Open flows whose packets reached only other targets for too long.
+/// Counts open flows whose packets were delivered only to other targets for [`STRAY_WINDOW`].
 fn strayed(history: &OpaqueHistory) -> usize {
-    let mut homes: HashMap<FlowKey, TargetStart> = HashMap::new();
-    let mut calm_since: HashMap<TargetStart, Moment> = HashMap::new();
+    let mut holders: HashMap<FlowKey, TargetStart> = HashMap::new();
+    let mut last_disrupted: HashMap<TargetStart, Moment> = HashMap::new();
     let mut ended: BTreeSet<TargetStart> = BTreeSet::new();
     let mut strays: HashMap<FlowKey, Vec<Moment>> = HashMap::new();
     let mut strayed = BTreeSet::new();
     for (now, event) in &history.events {
         match event {
             OpaqueEvent::Opened { flow, target } => {
-                homes.insert(*flow, *target);
+                holders.insert(*flow, *target);
                 strays.remove(flow);
             }
-            OpaqueEvent::Disturbed { target } => {
-                calm_since.insert(*target, *now);
+            OpaqueEvent::Disrupted { target } => {
+                last_disrupted.insert(*target, *now);
             }
             OpaqueEvent::Ended { target } => {
                 ended.insert(*target);
             }
-            OpaqueEvent::Reached { flow, target } => {
-                let Some(home) = homes.get(flow) else {
+            OpaqueEvent::Delivered { flow, target } => {
+                let Some(holder) = holders.get(flow) else {
                     continue;
                 };
-                if home == target {
+                if holder == target {
                     strays.remove(flow);
                     continue;
                 }
-                let calm = calm_since.get(home);
-                let calm = calm.is_none_or(|since| now.since(*since) > STRAY_SPAN * 2);
-                if ended.contains(home) || !calm {
+                let disrupted = last_disrupted.get(holder);
+                let is_undisrupted =
+                    disrupted.is_none_or(|since| now.since(*since) > STRAY_WINDOW * 2);
+                if ended.contains(holder) || !is_undisrupted {
                     continue;
                 }
                 let seen = strays.entry(*flow).or_default();
                 seen.push(*now);
-                let span = now.since(seen[0]);
-                if seen.len() >= STRAY_PACKETS && span >= STRAY_SPAN {
+                let elapsed = now.since(seen[0]);
+                if seen.len() >= STRAY_PACKET_THRESHOLD && elapsed >= STRAY_WINDOW {
                     strayed.insert(*flow);
                 }
             }
@@ -230,7 +230,7 @@
     strayed.len()
 }
 
-/// First packets that a target took of a service that was never allowed.
+/// Counts first packets that a target accepted for an address never routed to its service.
 fn wrong_service(history: &OpaqueHistory) -> usize {
     let wrong = |(_, event): &&(Moment, OpaqueEvent)| {
         matches!(event, OpaqueEvent::Accepted { allowed: false, .. })
@@ -238,18 +238,18 @@
     history.events.iter().filter(wrong).count()
 }
 
-/// Flows that a target took too long after it said that it leaves.
+/// Counts flows that a target accepted later than [`LEAVING_GRACE`] after its announcement.
 fn new_flow_after_leaving(history: &OpaqueHistory) -> usize {
-    let mut said: HashMap<TargetStart, Moment> = HashMap::new();
+    let mut announced: HashMap<TargetStart, Moment> = HashMap::new();
     let mut late = 0;
     for (now, event) in &history.events {
         match event {
             OpaqueEvent::Leaving { target } => {
-                said.entry(*target).or_insert(*now);
+                announced.entry(*target).or_insert(*now);
             }
             OpaqueEvent::Accepted { target, .. } => {
-                let said = said.get(target);
-                late += usize::from(said.is_some_and(|said| now.since(*said) > LEAVING_GRACE));
+                let since = announced.get(target);
+                late += usize::from(since.is_some_and(|since| now.since(*since) > LEAVING_GRACE));
             }
             _ => {}
         }
@@ -257,7 +257,7 @@
     late
 }
 
-/// First packets that a target took though its zone was evacuated.
+/// Counts first packets that a target in an evacuated zone accepted.
 fn new_flow_in_evacuated_zone(history: &OpaqueHistory) -> usize {
     let wrong = |(_, event): &&(Moment, OpaqueEvent)| {
         matches!(
@@ -271,13 +271,13 @@
     history.events.iter().filter(wrong).count()
 }
 
-/// Flows that were reset as never opened, and on which a request ran all the same.
+/// Counts requests that ran on flows that had been reset as never opened.
 fn refused_but_ran(history: &OpaqueHistory) -> usize {
     let mut refused = BTreeSet::new();
     let mut ran = 0;
     for (_, event) in &history.events {
         match event {
-            OpaqueEvent::ResetBefore { flow } => {
+            OpaqueEvent::ResetUnopened { flow } => {
                 refused.insert(*flow);
             }
             OpaqueEvent::Ran { flow, .. } => ran += usize::from(refused.contains(flow)),
@@ -287,27 +287,28 @@
     ran
 }
 
-/// Requests that may run once and ran more often. Clients repeat them only when the flow never
+/// Counts non-idempotent requests that ran more than once. Clients retry them only if the flow never
 /// opened.
 fn ran_twice(history: &OpaqueHistory) -> usize {
     let mut runs: HashMap<u64, usize> = HashMap::new();
     for (_, event) in &history.events {
         if let OpaqueEvent::Ran { request, .. } = event {
-            // Even numbers may be run again.
+            // Requests with even numbers are idempotent.
             *runs.entry(*request).or_default() += usize::from(request % 2 == 1);
         }
     }
     runs.values().filter(|count| **count > 1).count()
 }
 
-/// Requests that began after everything had healed and failed. Only those that may run again: one
-/// that may not, and that was sent on a flow whose target is gone, can be repeated by nobody.
+/// Counts idempotent requests that started after recovery from all faults and failed. A
+/// non-idempotent request on a flow whose target is gone cannot be retried, so its failure is
+/// expected.
 fn not_recovered(history: &OpaqueHistory) -> usize {
     let failed = |(_, event): &&(Moment, OpaqueEvent)| match event {
         OpaqueEvent::Failed {
             request,
-            after_healing,
-        } => *after_healing && request % 2 == 0,
+            after_recovery,
+        } => *after_recovery && request % 2 == 0,
         _ => false,
     };
     history.events.iter().filter(failed).count()
--- a/tests/matrix/src/opaque/mod.rs
+++ b/tests/matrix/src/opaque/mod.rs
@@ -1,5 +1,5 @@
-//! Flows of opaque packets: whatever restarts, joins, leaves or lies, an open flow's packets reach
-//! the target that holds it, and what is lost is told.
+//! Flows of opaque packets: whatever process restarts, joins, leaves or has a stale view, the packets
+//! of an open flow reach the target that holds it, and lost flows are reset.
 //!
 //! ```text
 //! client --packet--> router --hash--> balancer --frame--> agent --> target
@@ -7,15 +7,15 @@
 //!    +------------------------------------------------------+---------+
 //! ```
 //!
-//! Balancers and agents are the shipped decisions of `crates/flows`; clients, targets, routers and
-//! the network are fakes. Views come from a fake store through the shipped builder, late and
-//! different for each balancer where a fault says so.
+//! Balancers and agents run the production decision logic of `crates/flows`; clients, targets,
+//! routers and the network are fakes. The production builder makes the views from a fake store,
+//! delayed and different for each balancer if a fault requires it.
 
 mod client;
+mod fault;
 mod history;
 mod network;
 mod process;
-mod strike;
 mod target;
 mod world;
 
@@ -24,75 +24,77 @@
 
 use crate::plan::FaultPlan;
 
-/// What goes wrong.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpaqueFault {
-    /// A third of all datagrams are lost.
+    /// A third of the datagrams are lost.
     Drop,
-    /// Most datagrams come twice.
+    /// 80 % of the datagrams are duplicated.
     Duplicate,
-    /// Datagrams overtake each other by up to 60 ms.
+    /// Datagrams are reordered, with delays of up to 60 ms.
     Reorder,
-    /// Datagrams come up to 900 ms late: copies of first packets after the flow has opened.
+    /// Datagrams are delayed by up to 900 ms, so that copies of a first packet arrive after the flow
+    /// has opened.
     Delay,
-    /// A balancer dies and comes back without memory.
+    /// A balancer is killed and restarts without state.
     BalancerKilled,
-    /// Every balancer dies and comes back without memory.
+    /// Every balancer is killed and restarts without state.
     AllBalancersKilled,
-    /// A balancer stops in order and comes back.
-    BalancerStops,
-    /// A balancer joins, and routers spread all flows anew.
+    /// A balancer stops gracefully and restarts.
+    BalancerStopped,
+    /// A balancer joins, and the routers rehash all flows.
     RouterRehashed,
-    /// A balancer stands still and wakes with what it held.
+    /// A balancer is paused and resumes with its state.
     BalancerPaused,
-    /// A balancer's view stops following the store.
+    /// A balancer's view is no longer updated from the store.
     StaleView,
-    /// The agent beside the flow's target dies and comes back without memory.
+    /// The agent of the flow's target is killed and restarts without state.
     AgentKilled,
-    /// It stops in order and comes back.
-    AgentStops,
-    /// It stands still and wakes with what it held.
+    /// The agent of the flow's target stops gracefully and restarts.
+    AgentStopped,
+    /// The agent of the flow's target is paused and resumes with its state.
     AgentPaused,
-    /// Every agent and balancer dies and comes back without memory.
+    /// Every agent and balancer is killed and restarts without state.
     AllProcessesKilled,
-    /// The flow's target and its agent lose power and come back empty.
-    TargetRestarted,
-    /// All targets and all processes lose power and come back empty.
+    /// The flow's target and its agent lose power and restart without state.
+    MachinePowerLost,
+    /// All targets and all processes lose power and restart without state.
     PowerLost,
-    /// The flow's target and its machine are gone for good.
-    TargetGone,
-    /// The flow's target leaves in order.
-    TargetLeaves,
-    /// The flow's target dies, and one of another service starts at its address.
+    /// The machine of the flow's target fails permanently.
+    MachineRemoved,
+    /// The flow's target announces that it leaves, drains and ends.
+    TargetLeaving,
+    /// The flow's target is lost, and a target of another service starts at its address.
     AddressReused,
-    /// A target joins.
-    TargetJoins,
-    /// The flow's target takes no more flows.
+    /// A target is added.
+    TargetAdded,
+    /// The flow's target accepts no more flows.
     TargetFull,
-    /// The store is away, and entries of living targets expire.
-    EntriesLapse,
-    /// One balancer and the flow's agent do not reach each other.
-    Cut,
-    /// The route goes to the other service.
+    /// The store fails, and entries of running targets expire.
+    EntriesExpired,
+    /// One balancer and the flow's agent cannot reach each other.
+    LinkCut,
+    /// The route is moved to the other service.
     RouteMoved,
-    /// The route is dropped.
-    RouteDropped,
-    /// The flow's target crashes beside its living agent, and starts again under its name.
-    TargetReborn,
-    /// The same, and its agent starts anew with it.
-    TargetRebornWithAgent,
-    /// The entry of the flow's target cannot be read for a while.
+    /// The route is removed.
+    RouteRemoved,
+    /// The flow's target crashes while its agent runs, and restarts under the same name.
+    TargetCrashed,
+    /// The flow's target and its agent crash, and the target restarts under the same name.
+    MachineCrashed,
+    /// The entry of the flow's target is temporarily unreadable.
     EntryUnreadable,
-    /// Entries of another writer come and stay: one that cannot be read, one of a service that no
-    /// configuration names, at an address where nobody listens.
+    /// Entries of another writer appear and remain: an unreadable one, and one of a service that no
+    /// configuration names, at an address where no process listens.
     ForeignEntries,
-    /// The operator evacuates the zone of the flow's target, and takes it back.
+    /// The operator evacuates the zone of the flow's target and later restores it.
     ZoneEvacuated,
-    /// The zone of the flow's target and that of a balancer do not reach each other; a third reaches both.
-    ZonePairCut,
+    /// The zones of the flow's target and of a balancer cannot reach each other; a third zone reaches
+    /// both.
+    ZonePairPartitioned,
 }
 
-/// All of them.
+/// All faults of opaque flows.
 pub const OPAQUE_FAULTS: [OpaqueFault; 31] = [
     OpaqueFault::Drop,
     OpaqueFault::Duplicate,
@@ -100,78 +102,79 @@
     OpaqueFault::Delay,
     OpaqueFault::BalancerKilled,
     OpaqueFault::AllBalancersKilled,
-    OpaqueFault::BalancerStops,
+    OpaqueFault::BalancerStopped,
     OpaqueFault::RouterRehashed,
     OpaqueFault::BalancerPaused,
     OpaqueFault::StaleView,
     OpaqueFault::AgentKilled,
-    OpaqueFault::AgentStops,
+    OpaqueFault::AgentStopped,
     OpaqueFault::AgentPaused,
     OpaqueFault::AllProcessesKilled,
-    OpaqueFault::TargetRestarted,
+    OpaqueFault::MachinePowerLost,
     OpaqueFault::PowerLost,
-    OpaqueFault::TargetGone,
-    OpaqueFault::TargetLeaves,
+    OpaqueFault::MachineRemoved,
+    OpaqueFault::TargetLeaving,
     OpaqueFault::AddressReused,
-    OpaqueFault::TargetJoins,
+    OpaqueFault::TargetAdded,
     OpaqueFault::TargetFull,
-    OpaqueFault::EntriesLapse,
-    OpaqueFault::Cut,
+    OpaqueFault::EntriesExpired,
+    OpaqueFault::LinkCut,
     OpaqueFault::RouteMoved,
-    OpaqueFault::RouteDropped,
-    OpaqueFault::TargetReborn,
-    OpaqueFault::TargetRebornWithAgent,
+    OpaqueFault::RouteRemoved,
+    OpaqueFault::TargetCrashed,
+    OpaqueFault::MachineCrashed,
     OpaqueFault::EntryUnreadable,
     OpaqueFault::ForeignEntries,
     OpaqueFault::ZoneEvacuated,
-    OpaqueFault::ZonePairCut,
+    OpaqueFault::ZonePairPartitioned,
 ];
 
 /// The steps of the first client's first flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpaqueStep {
-    /// Its first packet.
+    /// The first packet of the flow.
     Opening,
-    /// The target's answer to that.
-    Answer,
-    /// The first request.
+    /// The target's reply to the first packet.
+    OpeningReply,
+    /// The first request on the flow.
     Request,
-    /// Its answer.
+    /// The response to a request.
     Response,
     /// A later request.
     LaterRequest,
-    /// The pause before the last one.
-    Pause,
+    /// The client's long pause between two requests.
+    LongPause,
 }
 
-/// All of them, in order.
+/// All steps of a flow, in order.
 pub const OPAQUE_STEPS: [OpaqueStep; 6] = [
     OpaqueStep::Opening,
-    OpaqueStep::Answer,
+    OpaqueStep::OpeningReply,
     OpaqueStep::Request,
     OpaqueStep::Response,
     OpaqueStep::LaterRequest,
-    OpaqueStep::Pause,
+    OpaqueStep::LongPause,
 ];
 
-/// What keeps the promises; each can be switched off.
+/// The mechanisms that uphold the guarantees; each can be disabled.
 #[derive(Clone, Copy, Debug)]
 pub struct OpaqueMechanisms {
-    /// A balancer that does not know a flow asks all who may hold it, and does not place it anew.
+    /// A balancer that does not know a flow queries all agents that may hold it instead of placing it
+    /// again.
     pub search: bool,
-    /// A restarted agent offers strangers' packets to its target.
-    pub trial: bool,
-    /// Agents refuse frames of another service.
+    /// A restarted agent delivers packets of unknown flows to its target.
+    pub trial_delivery: bool,
+    /// Agents refuse frames for another service.
     pub service_check: bool,
-    /// The agent that a client's number is not meant for passes the packet on.
-    pub number_check: bool,
-    /// A target that leaves gets no new flows.
+    /// An agent forwards packets whose acknowledgement number does not match its target.
+    pub acknowledgement_check: bool,
+    /// Leaving targets get no new flows.
     pub leaving: bool,
-    /// What nobody holds is reset.
+    /// Flows that no target holds are reset.
     pub resets: bool,
-    /// An entry that vanishes in the store's trouble proves nothing.
-    pub lapses: bool,
-    /// Balancers are told which zones are evacuated.
+    /// An entry that vanishes around a store failure is no proof that its target is gone.
+    pub store_doubt: bool,
+    /// Balancers learn which zones are evacuated.
     pub evacuation: bool,
 }
 
@@ -179,23 +182,23 @@
     fn default() -> Self {
         Self {
             search: true,
-            trial: true,
+            trial_delivery: true,
             service_check: true,
-            number_check: true,
+            acknowledgement_check: true,
             leaving: true,
             resets: true,
-            lapses: true,
+            store_doubt: true,
             evacuation: true,
         }
     }
 }
 
-/// How many targets each service has.
+/// Number of targets of each service.
 #[derive(Clone, Copy, Debug)]
 pub struct OpaqueFleet {
-    /// Of the service that the first clients' flows go to.
+    /// Targets of `claims`, the service of the first two routes.
     pub claims: u16,
-    /// Of the other one.
+    /// Targets of `vault`, the service of the third route.
     pub vault: u16,
 }
 
@@ -208,21 +211,21 @@
     }
 }
 
-/// Plays some flows under the faults of a plan.
+/// Runs several flows with the faults of a plan.
 #[must_use]
-pub fn play_opaque(
+pub fn run_opaque(
     plan: &FaultPlan<OpaqueFault, OpaqueStep>,
     mechanisms: OpaqueMechanisms,
 ) -> OpaqueHistory {
-    play_opaque_fleet(plan, mechanisms, OpaqueFleet::default())
+    run_opaque_fleet(plan, mechanisms, OpaqueFleet::default())
 }
 
-/// The same before a fleet of this size.
+/// Runs several flows with the faults of a plan in a fleet of the given size.
 #[must_use]
-pub fn play_opaque_fleet(
+pub fn run_opaque_fleet(
     plan: &FaultPlan<OpaqueFault, OpaqueStep>,
     mechanisms: OpaqueMechanisms,
     fleet: OpaqueFleet,
 ) -> OpaqueHistory {
-    OpaqueWorld::new(plan.clone(), mechanisms, fleet).play()
+    OpaqueWorld::new(plan.clone(), mechanisms, fleet).run()
 }
--- a/tests/matrix/src/opaque/network.rs
+++ b/tests/matrix/src/opaque/network.rs
@@ -1,4 +1,4 @@
-//! Packets, datagrams and the network between the fakes.
+//! Packets, datagrams and the simulated network.
 
 use lovagelatch_domain::AgentAddress;
 use lovagelatch_flows::{FlowKey, FlowPacket, PeerFrame};
@@ -6,50 +6,53 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-/// A packet with what the system cannot see.
+/// A packet with the part that the system cannot see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Packet {
     pub(crate) head: FlowPacket,
-    /// The request or response in its data.
+    /// Number of the request or response in the data.
     pub(crate) request: Option<u64>,
 }
 
-/// A datagram under way.
+/// A datagram in flight.
 #[derive(Clone, Debug)]
 pub(crate) enum Datagram {
     /// A client's packet to a balancer.
     ToBalancer(usize, Packet),
     /// A frame to a balancer.
-    Word(usize, PeerFrame, Option<Packet>),
+    FrameToBalancer(usize, PeerFrame, Option<Packet>),
     /// A frame to an agent.
-    Frame(AgentAddress, PeerFrame, Option<Packet>),
-    /// A packet to the target beside an agent.
+    FrameToAgent(AgentAddress, PeerFrame, Option<Packet>),
+    /// A packet from an agent to its target.
     ToTarget(usize, Packet),
-    /// A target's packet to its agent.
+    /// A packet from a target to its agent.
     FromTarget(usize, Packet),
     /// A packet to a client.
     ToClient(Packet),
-    /// The system's own reset, with its number.
+    /// A reset that the system sends to a client, with its sequence number.
     Reset(FlowKey, u32),
 }
 
 impl Datagram {
-    /// Whether it stays on one machine, where nothing is lost.
+    /// Whether the datagram stays on one machine, where none is lost.
     fn is_local(&self) -> bool {
         matches!(self, Self::ToTarget(..) | Self::FromTarget(..))
     }
 }
 
-/// How the network behaves.
+/// Behaviour of the network.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Network {
+    /// Probability that a datagram is lost.
     pub(crate) drop: f64,
+    /// Probability that a datagram is duplicated.
     pub(crate) duplicate: f64,
-    pub(crate) jitter: u64,
+    /// Upper bound of the random additional delay, in milliseconds.
+    pub(crate) jitter_ms: u64,
 }
 
 impl Network {
-    /// The delays in milliseconds after which copies of a datagram arrive; none if it is lost.
+    /// Returns the delay in milliseconds of each delivered copy of a datagram; empty if it is lost.
     pub(crate) fn delays(&self, datagram: &Datagram, rng: &mut SmallRng) -> Vec<u64> {
         if datagram.is_local() {
             return vec![0];
@@ -58,7 +61,7 @@
         let mut delays = Vec::with_capacity(copies);
         for _ in 0..copies {
             if !rng.random_bool(self.drop) {
-                delays.push(rng.random_range(1..=2 + self.jitter));
+                delays.push(rng.random_range(1..=2 + self.jitter_ms));
             }
         }
         delays
--- a/tests/matrix/src/opaque/process.rs
+++ b/tests/matrix/src/opaque/process.rs
@@ -1,4 +1,5 @@
-//! What the binaries hold around the decisions: a balancer, and a machine with agent and target.
+//! Simulated processes around the production decision logic: a balancer, and a machine with an agent
+//! and its target.
 
 use std::time::Duration;
 
@@ -11,33 +12,32 @@
 use super::network::Datagram;
 use super::target::Target;
 
-/// The longest that a flow lives, pressed together.
+/// Longest lifetime of a flow, shortened for the simulation.
 pub(crate) const FLOW_LIFETIME: Duration = Duration::from_secs(30);
 
 pub(crate) const AGENT_PORT: u16 = 7_720;
 
-/// A balancer with its view.
+/// A balancer with its state and its view.
 pub(crate) struct Balancer {
-    pub(crate) own: AgentAddress,
-    pub(crate) decisions: FlowBalancer,
+    pub(crate) own_address: AgentAddress,
+    pub(crate) logic: FlowBalancer,
     pub(crate) builder: FlowViewBuilder,
     pub(crate) view: FlowView,
     pub(crate) running: bool,
     /// Whether routers send packets here.
     pub(crate) ready: bool,
     pub(crate) paused: bool,
-    /// Its view does not follow the store.
+    /// Whether its view is not updated from the store.
     pub(crate) stale: bool,
-    /// The agent that it does not reach.
-    pub(crate) cut_from: Option<AgentAddress>,
-    /// Its zone.
+    /// The agent that it cannot reach.
+    pub(crate) unreachable_agent: Option<AgentAddress>,
     pub(crate) zone: &'static str,
-    /// What arrived while it was paused, or before it knew a configuration.
-    pub(crate) held: Vec<Datagram>,
+    /// Datagrams that arrived while it was paused, or before it knew a configuration.
+    pub(crate) queued: Vec<Datagram>,
 }
 
 impl Balancer {
-    pub(crate) fn new(own: AgentAddress, zone: &'static str) -> Self {
+    pub(crate) fn new(own_address: AgentAddress, zone: &'static str) -> Self {
         let settings = ViewSettings {
             regions: Vec::new(),
             zone: zone.parse().expect("a zone"),
@@ -45,83 +45,88 @@
             flow_lifetime: FLOW_LIFETIME,
         };
         Self {
-            own,
-            decisions: FlowBalancer::new(own),
+            own_address,
+            logic: FlowBalancer::new(own_address),
             builder: FlowViewBuilder::new(settings),
             view: FlowView::default(),
             running: true,
             ready: true,
             paused: false,
             stale: false,
-            cut_from: None,
+            unreachable_agent: None,
             zone,
-            held: Vec::new(),
+            queued: Vec::new(),
         }
     }
 
-    pub(crate) fn take_catalog(&mut self, catalog: Catalog, now: Moment) {
+    pub(crate) fn apply_catalog(&mut self, catalog: Catalog, now: Moment) {
         self.builder.apply(&catalog, now);
         self.view = self.builder.build(now);
     }
 }
 
-/// A machine with a target and the agent beside it.
+/// A machine with a target and its agent.
 pub(crate) struct Machine {
     pub(crate) agent: AgentAddress,
-    /// Its zone.
     pub(crate) zone: &'static str,
-    pub(crate) decisions: FlowAgent,
+    pub(crate) logic: FlowAgent,
     pub(crate) target: Target,
     /// Whether the agent runs.
     pub(crate) running: bool,
     pub(crate) paused: bool,
-    pub(crate) held: Vec<Datagram>,
+    /// Datagrams that arrived while the agent was paused.
+    pub(crate) queued: Vec<Datagram>,
     /// Whether the store lists the target.
     pub(crate) listed: bool,
-    /// The number in its name there: that of its first start under it.
-    pub(crate) name: u32,
-    /// Whether its next start has the same name.
-    pub(crate) reborn: bool,
-    /// Whether its entry can be read.
+    /// Number in the name of its entry: that of the first start with this name.
+    pub(crate) name_number: u32,
+    /// Whether its next start keeps the name.
+    pub(crate) keeps_name: bool,
+    /// Whether its entry is readable.
     pub(crate) readable: bool,
-    /// Until when something was wrong with the machine or the way to it.
-    pub(crate) disturbed: Moment,
+    /// When the machine or the path to it was last disrupted.
+    pub(crate) disrupted_at: Moment,
 }
 
 impl Machine {
     pub(crate) fn new(agent: AgentAddress, zone: &'static str, target: Target) -> Self {
-        let decisions = new_agent(agent, target.service, true, Moment::ZERO);
-        let name = target.start;
+        let logic = new_agent(agent, target.service, true, Moment::ZERO);
+        let name_number = target.start;
         Self {
             agent,
             zone,
-            decisions,
+            logic,
             target,
             running: true,
             paused: false,
-            held: Vec::new(),
+            queued: Vec::new(),
             listed: true,
-            name,
-            reborn: false,
+            name_number,
+            keeps_name: false,
             readable: true,
-            disturbed: Moment::ZERO,
+            disrupted_at: Moment::ZERO,
         }
     }
 
-    /// The agent starts without memory; `sees_all` says whether its target starts with it.
-    pub(crate) fn restart_agent(&mut self, sees_all: bool, now: Moment) {
-        self.decisions = new_agent(self.agent, self.target.service, sees_all, now);
+    /// Restarts the agent without state; `started_with_target` says whether its target starts with it.
+    pub(crate) fn restart_agent(&mut self, started_with_target: bool, now: Moment) {
+        self.logic = new_agent(self.agent, self.target.service, started_with_target, now);
         self.running = true;
         self.paused = false;
-        self.held.clear();
+        self.queued.clear();
     }
 }
 
-fn new_agent(own: AgentAddress, service: ServiceId, sees_all: bool, now: Moment) -> FlowAgent {
+fn new_agent(
+    own: AgentAddress,
+    service: ServiceId,
+    started_with_target: bool,
+    now: Moment,
+) -> FlowAgent {
     let settings = AgentSettings {
         own_address: own,
         service,
-        started_with_target: sees_all,
+        started_with_target,
         flow_lifetime: FLOW_LIFETIME,
         warmup: WarmupSettings {
             overshoot: 1.5,
--- a/tests/matrix/src/opaque/target.rs
+++ b/tests/matrix/src/opaque/target.rs
@@ -1,4 +1,5 @@
-//! A fake target: takes flows, runs requests, returns what it does not hold.
+//! A fake target, which accepts flows, runs requests and returns packets of flows that it does not
+//! hold.
 
 use std::collections::HashMap;
 
@@ -8,32 +9,32 @@
 use super::history::TargetStart;
 use super::network::Packet;
 
-/// Milliseconds that a request takes.
-pub(crate) const WORK: u64 = 25;
+/// Time that a request takes.
+pub(crate) const WORK_TIME_MS: u64 = 25;
 
 #[derive(Clone, Debug)]
 struct TargetFlow {
-    number: u32,
+    initial_sequence: u32,
     open: bool,
-    /// Requests that were run or are running, with whether their responses are ready.
+    /// Requests that ran or are running, with whether the response is ready.
     requests: HashMap<u64, bool>,
     closed: bool,
 }
 
-/// What a target does with a packet.
+/// How a target handles a packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum TargetStep {
+pub(crate) enum TargetAction {
     /// Sends a packet.
     Send(Packet),
-    /// Begins to run a request; the response follows.
+    /// Starts to run a request; the response follows later.
     Run(u64),
-    /// Nothing.
-    Nothing,
+    /// Does nothing.
+    Ignore,
 }
 
-/// What else is worth noting.
+/// The change of a flow's state that a packet caused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct TargetNote {
+pub(crate) struct FlowProgress {
     pub(crate) accepted: bool,
     pub(crate) opened: bool,
 }
@@ -64,59 +65,73 @@
         self.running && self.flows.get(flow).is_some_and(|held| held.open)
     }
 
-    /// What a packet of a flow must acknowledge to open it here.
-    pub(crate) fn expected(&self, head: &FlowPacket) -> Option<u32> {
+    /// The acknowledgement number that a packet needs to open its flow at this target.
+    pub(crate) fn expected_acknowledgement(&self, head: &FlowPacket) -> Option<u32> {
         let held = self.flows.get(&head.flow)?;
-        Some(held.number.wrapping_add(1))
+        Some(held.initial_sequence.wrapping_add(1))
     }
 
-    /// Takes a packet; `number` is the number to choose for a new flow.
-    pub(crate) fn take(&mut self, packet: &Packet, number: u32) -> (TargetStep, TargetNote) {
+    /// Handles a packet; `initial_sequence` is used for a new flow.
+    pub(crate) fn handle_packet(
+        &mut self,
+        packet: &Packet,
+        initial_sequence: u32,
+    ) -> (TargetAction, FlowProgress) {
         let head = &packet.head;
         if head.opens() {
-            return self.take_opening(packet, number);
+            return self.handle_opening(packet, initial_sequence);
         }
         let Some(flow) = self.flows.get_mut(&head.flow) else {
-            return (TargetStep::Send(returned(packet)), TargetNote::default());
+            return (
+                TargetAction::Send(returned(packet)),
+                FlowProgress::default(),
+            );
         };
-        let mut note = TargetNote::default();
+        let mut progress = FlowProgress::default();
         if !flow.open {
-            if head.acknowledged != flow.number.wrapping_add(1) {
-                return (TargetStep::Send(returned(packet)), note);
+            if head.acknowledged != flow.initial_sequence.wrapping_add(1) {
+                return (TargetAction::Send(returned(packet)), progress);
             }
             flow.open = true;
-            note.opened = true;
+            progress.opened = true;
         }
         let Some(request) = packet.request else {
-            return (TargetStep::Nothing, note);
+            return (TargetAction::Ignore, progress);
         };
         if flow.closed {
-            return (TargetStep::Send(reset(head)), note);
+            return (TargetAction::Send(reset(head)), progress);
         }
         match flow.requests.get(&request) {
             None => {
                 flow.requests.insert(request, false);
-                (TargetStep::Run(request), note)
+                (TargetAction::Run(request), progress)
             }
-            Some(false) => (TargetStep::Nothing, note),
+            Some(false) => (TargetAction::Ignore, progress),
             Some(true) => (
-                TargetStep::Send(response(head.flow, flow.number, request)),
-                note,
+                TargetAction::Send(response(head.flow, flow.initial_sequence, request)),
+                progress,
             ),
         }
     }
 
-    fn take_opening(&mut self, packet: &Packet, number: u32) -> (TargetStep, TargetNote) {
+    fn handle_opening(
+        &mut self,
+        packet: &Packet,
+        initial_sequence: u32,
+    ) -> (TargetAction, FlowProgress) {
         let flow = packet.head.flow;
         let known = self.flows.get(&flow).filter(|held| !held.closed);
         if known.is_none() && self.full {
-            return (TargetStep::Send(returned(packet)), TargetNote::default());
+            return (
+                TargetAction::Send(returned(packet)),
+                FlowProgress::default(),
+            );
         }
         let accepted = known.is_none();
-        let number = known.map_or(number, |held| held.number);
+        let initial_sequence = known.map_or(initial_sequence, |held| held.initial_sequence);
         if accepted {
             let held = TargetFlow {
-                number,
+                initial_sequence,
                 open: false,
                 requests: HashMap::new(),
                 closed: false,
@@ -130,30 +145,30 @@
                 ack: true,
                 ..PacketFlags::default()
             },
-            sequence: number,
+            sequence: initial_sequence,
             acknowledged: packet.head.sequence.wrapping_add(1),
             data_bytes: 0,
             tag: 0,
         };
-        let note = TargetNote {
+        let progress = FlowProgress {
             accepted,
             opened: false,
         };
         (
-            TargetStep::Send(Packet {
+            TargetAction::Send(Packet {
                 head,
                 request: None,
             }),
-            note,
+            progress,
         )
     }
 
-    /// A request's work is done; the response, and whether the flow closes with it.
+    /// Completes a request and returns the response; a leaving target closes the flow with it.
     pub(crate) fn finish(&mut self, flow: &FlowKey, request: u64) -> Option<Packet> {
         let leaving = self.leaving;
         let held = self.flows.get_mut(flow).filter(|_| self.running)?;
         held.requests.insert(request, true);
-        let mut packet = response(*flow, held.number, request);
+        let mut packet = response(*flow, held.initial_sequence, request);
         if leaving {
             held.closed = true;
             packet.head.flags.fin = true;
@@ -161,7 +176,7 @@
         Some(packet)
     }
 
-    /// Loses all flows, as a crash does.
+    /// Restarts the target after a crash, without its flows.
     pub(crate) fn restart(&mut self, start: TargetStart) {
         *self = Self::new(start, self.service);
     }
@@ -190,14 +205,14 @@
     }
 }
 
-fn response(flow: FlowKey, number: u32, request: u64) -> Packet {
+fn response(flow: FlowKey, initial_sequence: u32, request: u64) -> Packet {
     let head = FlowPacket {
         flow,
         flags: PacketFlags {
             ack: true,
             ..PacketFlags::default()
         },
-        sequence: number.wrapping_add(1),
+        sequence: initial_sequence.wrapping_add(1),
         acknowledged: 0,
         data_bytes: 400,
         tag: 0,
--- a/tests/matrix/src/opaque/world.rs
+++ b/tests/matrix/src/opaque/world.rs
@@ -1,4 +1,4 @@
-//! One run: the queue, and what each process does with what reaches it.
+//! One simulated run: the event queue, and how each process handles events and datagrams.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -21,68 +21,70 @@
 use super::history::{OpaqueEvent, OpaqueHistory};
 use super::network::{Datagram, Network, Packet};
 use super::process::{AGENT_PORT, Balancer, FLOW_LIFETIME, Machine};
-use super::target::{Target, TargetStep, WORK};
+use super::target::{Target, TargetAction, WORK_TIME_MS};
 use super::{OpaqueFault, OpaqueFleet, OpaqueMechanisms, OpaqueStep};
 use crate::plan::FaultPlan;
 use crate::queue::EventQueue;
 
-/// Milliseconds between two looks at timers.
-const TICK: u64 = 20;
+/// Interval between checks of the processes' timers.
+const TICK_MS: u64 = 20;
 
-/// Milliseconds between an agent's reports.
-const REPORT: u64 = 240;
+/// Interval between the load reports of an agent.
+const REPORT_INTERVAL_MS: u64 = 240;
 
-/// Milliseconds that a run lasts.
-const END: u64 = 18_000;
+/// Duration of a run.
+const RUN_TIME_MS: u64 = 18_000;
 
-/// Requests of a client.
-const REQUESTS: u64 = 70;
+/// Number of requests that a client sends.
+const REQUESTS_PER_CLIENT: u64 = 70;
 
-/// How long after the last change of anything the system must have recovered: the longest is to
-/// learn that a filing's target is gone, by its entry's expiry.
-const HEALING_SPAN: Duration = Duration::from_millis(1_500);
+/// Time after the last disruption within which the system must have recovered. The slowest recovery
+/// is learning from an expired entry that the target of a filing is gone.
+const RECOVERY_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Milliseconds of delay from which on the network counts as disturbed.
-const SLOW_JITTER: u64 = 200;
+/// Jitter above which the network counts as disrupted.
+const DISRUPTIVE_JITTER_MS: u64 = 200;
 
-/// How long a disturbance excuses what it caused.
-const EXCUSE: Duration = Duration::from_millis(1_500);
+/// Time after a disruption during which its consequences are not counted as violations.
+const DISRUPTION_GRACE: Duration = Duration::from_millis(1_500);
 
 const BALANCERS: u8 = 3;
 
-/// The availability zones; machines and balancers stand in them by turns.
+/// The availability zones, to which machines and balancers are assigned in rotation.
 const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
-/// How long after the operator's word a zone may still be given a flow: a balancer hears of it within 100 ms, an
-/// agent by its next report.
+/// How long after the operator's command an evacuated zone may still be given a flow: a balancer
+/// learns of it within 100 ms, an agent with its next report.
 const EVACUATION_GRACE: Duration = Duration::from_secs(1);
 
-/// Beyond so many machines changes of the store reach a balancer several at a time.
-const FEW_MACHINES: usize = 100;
+/// Fleet size above which several changes of the store reach a balancer together.
+const MAX_UNBATCHED_MACHINES: usize = 100;
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum WorldEvent {
     Arrive(Datagram),
-    Client(usize, ClientTimer),
-    /// A request's work at a target is done.
-    Finished(usize, u32, FlowKey, u64),
+    ClientTimer(usize, ClientTimer),
+    /// A target has completed a request: machine, start of the target, flow, request.
+    RequestDone(usize, u32, FlowKey, u64),
     Tick,
-    /// A balancer hears of the store's state.
-    View(usize),
+    /// A balancer reads the store and builds a new view.
+    RefreshView(usize),
+    /// A fault ends: the fault, the machine and the balancer that it affects.
     Heal(OpaqueFault, usize, usize),
     StartBalancer(usize),
+    /// An agent starts: machine, whether its target starts with it.
     StartAgent(usize, bool),
     StartMachine(usize),
-    /// A dead target's entry vanishes.
-    Expire(usize, u32),
-    /// The entry of a former start vanishes.
-    ForgetFormer(TargetName),
-    /// A leaving target ends.
-    Leave(usize, u32),
+    /// The entry of a dead target expires: machine, start of the target.
+    ExpireEntry(usize, u32),
+    /// The entry of a former start expires.
+    ExpireFormer(TargetName),
+    /// A leaving target ends after its drain time: machine, start of the target.
+    StopDrained(usize, u32),
 }
 
-/// One run.
+/// The state of one run.
 pub struct OpaqueWorld {
     pub(crate) plan: FaultPlan<OpaqueFault, OpaqueStep>,
     pub(crate) mechanisms: OpaqueMechanisms,
@@ -93,34 +95,34 @@
     pub(crate) balancers: Vec<Balancer>,
     pub(crate) machines: Vec<Machine>,
     clients: Vec<Client>,
-    /// Routes and the services that each may ever have sent flows to.
     pub(crate) routes: Vec<PublishedRoute>,
+    /// The services that each address has been routed to during the run.
     allowed: HashMap<SocketAddrV4, Vec<ServiceId>>,
     pub(crate) version: u64,
-    pub(crate) salt: u64,
+    pub(crate) router_salt: u64,
     pub(crate) starts: u32,
-    /// Entries of former starts that have not expired: their targets ended without a word.
+    /// Unexpired entries of former starts, whose targets ended without announcing it.
     pub(crate) former: Vec<TargetRow>,
-    /// What another writer has put among the targets' entries.
+    /// Entries of another writer among those of the targets.
     pub(crate) foreign: Vec<TargetRow>,
-    /// The machine of the first client's flow.
-    pub(crate) home: Option<usize>,
-    /// The evacuated zones, with since when.
+    /// The machine that holds the first client's flow.
+    pub(crate) holder_machine: Option<usize>,
+    /// The evacuated zones, with the time of the evacuation.
     pub(crate) evacuated: Vec<(&'static str, Moment)>,
     pub(crate) zones_revision: u64,
-    /// Two zones that do not reach each other: a balancer's and a machine's.
-    pub(crate) cut_zones: Option<(&'static str, &'static str)>,
-    /// When a balancer last did not follow the store.
-    astray: Moment,
-    /// When the store was last in trouble.
-    pub(crate) trouble_at: Moment,
-    reached: Vec<OpaqueStep>,
-    /// When something last began or ceased to be wrong.
-    pub(crate) last_trouble: Moment,
-    /// Which balancers are about to hear of the store's state.
+    /// Two zones that cannot reach each other: a balancer's and a machine's.
+    pub(crate) partitioned_zones: Option<(&'static str, &'static str)>,
+    /// When a balancer last was paused or had a stale view.
+    last_view_fault: Moment,
+    /// When the store last failed.
+    pub(crate) store_failed_at: Moment,
+    reached_steps: Vec<OpaqueStep>,
+    /// When a disruption last began or ended.
+    pub(crate) last_disruption: Moment,
+    /// Which balancers have a pending refresh of their view.
     views_due: Vec<bool>,
-    /// When each request began.
-    begun: HashMap<u64, Moment>,
+    /// When each request was started.
+    started_at: HashMap<u64, Moment>,
     ticks: u64,
 }
 
@@ -144,20 +146,20 @@
             routes: vec![route(1, claims()), route(2, claims()), route(3, vault())],
             allowed: HashMap::new(),
             version: 1,
-            salt: 0,
+            router_salt: 0,
             starts: 0,
             former: Vec::new(),
             foreign: Vec::new(),
-            home: None,
+            holder_machine: None,
             evacuated: Vec::new(),
             zones_revision: 1,
-            cut_zones: None,
-            astray: Moment::ZERO,
-            trouble_at: Moment::ZERO,
-            reached: Vec::new(),
-            last_trouble: Moment::ZERO,
+            partitioned_zones: None,
+            last_view_fault: Moment::ZERO,
+            store_failed_at: Moment::ZERO,
+            reached_steps: Vec::new(),
+            last_disruption: Moment::ZERO,
             views_due: Vec::new(),
-            begun: HashMap::new(),
+            started_at: HashMap::new(),
             ticks: 0,
         };
         world.populate(fleet);
@@ -174,15 +176,17 @@
         let now = self.now();
         for number in 0..BALANCERS {
             let ip = Ipv4Addr::new(10, 0, 0, number + 1);
-            let own = AgentAddress(SocketAddrV4::new(ip, AGENT_PORT));
-            let mut balancer = Balancer::new(own, zone_at(number.into()));
-            balancer.take_catalog(self.catalog(), now);
+            let own_address = AgentAddress(SocketAddrV4::new(ip, AGENT_PORT));
+            let mut balancer = Balancer::new(own_address, zone_at(number.into()));
+            balancer.apply_catalog(self.catalog(), now);
             self.balancers.push(balancer);
         }
-        self.note_allowed();
+        self.record_allowed();
         self.clients = (1..)
             .zip([true, false, true])
-            .map(|(number, idempotent)| Client::new(number, address(number), idempotent, REQUESTS))
+            .map(|(number, idempotent)| {
+                Client::new(number, address(number), idempotent, REQUESTS_PER_CLIENT)
+            })
             .collect();
     }
 
@@ -196,15 +200,15 @@
         self.machines.push(Machine::new(agent, zone, target));
     }
 
-    pub(crate) fn play(mut self) -> OpaqueHistory {
+    pub(crate) fn run(mut self) -> OpaqueHistory {
         self.queue.push(0, WorldEvent::Tick);
         for client in 0..self.clients.len() {
-            let timer = ClientTimer::Next;
+            let timer = ClientTimer::NextRequest;
             self.queue
-                .push(10 + client as u64, WorldEvent::Client(client, timer));
+                .push(10 + client as u64, WorldEvent::ClientTimer(client, timer));
         }
         while let Some(event) = self.queue.pop() {
-            if self.now() > Moment::from_millis(END) {
+            if self.now() > Moment::from_millis(RUN_TIME_MS) {
                 break;
             }
             self.handle(event);
@@ -216,60 +220,62 @@
         self.queue.now()
     }
 
-    pub(crate) fn note(&mut self, event: OpaqueEvent) {
+    pub(crate) fn record(&mut self, event: OpaqueEvent) {
         let now = self.now();
-        self.history.note(now, event);
+        self.history.record(now, event);
     }
 
     fn handle(&mut self, event: WorldEvent) {
         match event {
             WorldEvent::Arrive(datagram) => self.arrive(datagram),
-            WorldEvent::Client(client, timer) => {
-                let actions = self.clients[client].timer(timer);
-                self.act(client, actions);
+            WorldEvent::ClientTimer(client, timer) => {
+                let actions = self.clients[client].handle_timer(timer);
+                self.execute_client_actions(client, actions);
             }
-            WorldEvent::Finished(machine, start, flow, request) => {
-                self.finish(machine, start, flow, request);
+            WorldEvent::RequestDone(machine, start, flow, request) => {
+                self.finish_request(machine, start, flow, request);
             }
             WorldEvent::Tick => self.tick(),
-            WorldEvent::View(balancer) => self.refresh(balancer),
-            WorldEvent::ForgetFormer(name) => {
+            WorldEvent::RefreshView(balancer) => self.refresh_view(balancer),
+            WorldEvent::ExpireFormer(name) => {
                 self.former.retain(|row| *row.name() != name);
                 self.publish();
             }
-            trouble => self.change(trouble),
+            disruption => self.handle_disruption(disruption),
         }
     }
 
-    /// Something begins or ceases to be wrong.
-    fn change(&mut self, event: WorldEvent) {
-        self.last_trouble = self.last_trouble.max(self.now());
+    /// Handles an event that begins or ends a disruption.
+    fn handle_disruption(&mut self, event: WorldEvent) {
+        self.last_disruption = self.last_disruption.max(self.now());
         match event {
             WorldEvent::Heal(fault, machine, balancer) => self.heal(fault, machine, balancer),
             WorldEvent::StartBalancer(balancer) => self.start_balancer(balancer),
-            WorldEvent::StartAgent(machine, sees_all) => self.start_agent(machine, sees_all),
+            WorldEvent::StartAgent(machine, started_with_target) => {
+                self.start_agent(machine, started_with_target);
+            }
             WorldEvent::StartMachine(machine) => self.start_machine(machine),
-            WorldEvent::Expire(machine, start) => self.expire(machine, start),
-            WorldEvent::Leave(machine, start) => self.leave(machine, start),
+            WorldEvent::ExpireEntry(machine, start) => self.expire_entry(machine, start),
+            WorldEvent::StopDrained(machine, start) => self.stop_drained(machine, start),
             WorldEvent::Arrive(_)
-            | WorldEvent::Client(..)
-            | WorldEvent::Finished(..)
+            | WorldEvent::ClientTimer(..)
+            | WorldEvent::RequestDone(..)
             | WorldEvent::Tick
-            | WorldEvent::View(_)
-            | WorldEvent::ForgetFormer(_) => {}
+            | WorldEvent::RefreshView(_)
+            | WorldEvent::ExpireFormer(_) => {}
         }
     }
 
-    // What the store says.
+    // The store.
 
     pub(crate) fn catalog(&self) -> Catalog {
         let listed = self.machines.iter().filter(|machine| machine.listed);
         let rows = listed.map(|machine| {
-            let record = self.record(machine);
+            let entry = self.entry(machine);
             if machine.readable {
-                TargetRow::Published(record)
+                TargetRow::Published(entry)
             } else {
-                TargetRow::Unreadable(record.name)
+                TargetRow::Unreadable(entry.name)
             }
         });
         let others = self.former.iter().chain(&self.foreign).cloned();
@@ -280,7 +286,7 @@
             idle_timeout: Duration::from_secs(15),
             routes: self.routes.clone().into(),
             targets: targets.into(),
-            // A route may have been moved from either.
+            // Routes may have been moved away from either service.
             unrouted: vec![claims(), vault()].into(),
             zones_revision: self.zones_revision,
             evacuated: self.evacuated_zones().into(),
@@ -288,40 +294,43 @@
     }
 
     fn evacuated_zones(&self) -> Vec<EvacuatedZone> {
-        let told = self.evacuated.iter().filter(|_| self.mechanisms.evacuation);
-        let mut zones: Vec<_> = told
+        let published = self.evacuated.iter().filter(|_| self.mechanisms.evacuation);
+        let mut zones: Vec<_> = published
             .map(|(zone, _)| EvacuatedZone(zone.parse().expect("a zone")))
             .collect();
         zones.sort_by(|a, b| a.0.cmp(&b.0));
         zones
     }
 
-    /// Whether a zone was evacuated long enough ago, and every balancer has followed the store since.
+    /// Whether a zone has been evacuated, and every balancer has followed the store, for longer than
+    /// [`EVACUATION_GRACE`].
     fn is_evacuated(&self, zone: &str) -> bool {
         let now = self.now();
         let mut evacuated = self.evacuated.iter();
-        let since = evacuated.find(|(known, _)| *known == zone);
-        since.is_some_and(|(_, since)| now.since(*since.max(&self.astray)) > EVACUATION_GRACE)
+        let found = evacuated.find(|(known, _)| *known == zone);
+        found.is_some_and(|(_, since)| {
+            now.since(*since.max(&self.last_view_fault)) > EVACUATION_GRACE
+        })
     }
 
-    /// Whether a balancer and a machine cannot reach each other.
-    fn is_cut(&self, number: usize, agent: AgentAddress) -> bool {
+    /// Whether a balancer and the machine of an agent cannot reach each other.
+    fn is_unreachable(&self, number: usize, agent: AgentAddress) -> bool {
         let balancer = &self.balancers[number];
         let mut machines = self.machines.iter();
-        let zone = machines.find(|machine| machine.agent == agent);
-        let zones = zone.map(|machine| (balancer.zone, machine.zone));
+        let machine = machines.find(|machine| machine.agent == agent);
+        let zones = machine.map(|machine| (balancer.zone, machine.zone));
         let cut = self
-            .cut_zones
+            .partitioned_zones
             .is_some_and(|(a, b)| zones == Some((a, b)) || zones == Some((b, a)));
-        cut || balancer.cut_from == Some(agent)
+        cut || balancer.unreachable_agent == Some(agent)
     }
 
-    pub(crate) fn record(&self, machine: &Machine) -> PublishedTarget {
+    pub(crate) fn entry(&self, machine: &Machine) -> PublishedTarget {
         let service = [claims(), vault()];
         let mut services = service.into_iter();
         let service = services.find(|name| name.id() == machine.target.service);
         PublishedTarget {
-            name: TargetName(format!("i-{}", machine.name).into()),
+            name: TargetName(format!("i-{}", machine.name_number).into()),
             service: service.expect("a known service"),
             address: SocketAddrV4::new(*machine.agent.0.ip(), 8_000),
             zone: machine.zone.parse().expect("a zone"),
@@ -332,43 +341,44 @@
         }
     }
 
-    /// Every balancer hears of the store's state, each after a while of its own. In a large fleet one that
-    /// is about to hear of a change hears of all others with it: a view for each of thousands took minutes.
+    /// Schedules a refresh of every balancer's view, each after a random delay. In a large fleet a
+    /// pending refresh covers later changes too: building a view per change took minutes with
+    /// thousands of machines.
     pub(crate) fn publish(&mut self) {
-        self.note_allowed();
+        self.record_allowed();
         self.views_due.resize(self.balancers.len(), false);
         for balancer in 0..self.balancers.len() {
-            if self.machines.len() > FEW_MACHINES && self.views_due[balancer] {
+            if self.machines.len() > MAX_UNBATCHED_MACHINES && self.views_due[balancer] {
                 continue;
             }
             self.views_due[balancer] = true;
             let delay = self.rng.random_range(20..400);
-            self.queue.push(delay, WorldEvent::View(balancer));
+            self.queue.push(delay, WorldEvent::RefreshView(balancer));
         }
     }
 
-    fn note_allowed(&mut self) {
+    fn record_allowed(&mut self) {
         for route in &self.routes {
             let allowed = self.allowed.entry(route.address).or_default();
             allowed.extend(route.shares.iter().map(|share| share.service.id()));
         }
     }
 
-    fn refresh(&mut self, number: usize) {
+    fn refresh_view(&mut self, number: usize) {
         self.views_due.resize(self.balancers.len(), false);
         self.views_due[number] = false;
         let (catalog, now) = (self.catalog(), self.now());
         let balancer = &mut self.balancers[number];
         if balancer.running && !balancer.paused && !balancer.stale {
-            balancer.take_catalog(catalog, now);
-            let held = std::mem::take(&mut balancer.held);
-            for datagram in held {
+            balancer.apply_catalog(catalog, now);
+            let queued = std::mem::take(&mut balancer.queued);
+            for datagram in queued {
                 self.arrive(datagram);
             }
         }
     }
 
-    // Datagrams.
+    // Datagrams and frames.
 
     pub(crate) fn send(&mut self, datagram: Datagram) {
         for delay in self.network.delays(&datagram, &mut self.rng) {
@@ -378,94 +388,100 @@
 
     pub(crate) fn arrive(&mut self, datagram: Datagram) {
         match datagram {
-            Datagram::ToBalancer(number, packet) => self.at_balancer(number, packet),
-            Datagram::Word(number, frame, packet) => self.word(number, frame, packet),
-            Datagram::Frame(agent, frame, packet) => self.frame(agent, frame, packet),
-            Datagram::ToTarget(machine, packet) => self.at_target(machine, packet),
-            Datagram::FromTarget(machine, packet) => self.target_packet(machine, packet),
-            Datagram::ToClient(packet) => self.at_client(&packet),
-            Datagram::Reset(flow, number) => self.client_reset(&flow, number),
+            Datagram::ToBalancer(number, packet) => self.handle_client_packet(number, packet),
+            Datagram::FrameToBalancer(number, frame, packet) => {
+                self.handle_balancer_frame(number, frame, packet);
+            }
+            Datagram::FrameToAgent(agent, frame, packet) => {
+                self.handle_agent_frame(agent, frame, packet);
+            }
+            Datagram::ToTarget(machine, packet) => self.deliver_to_target(machine, packet),
+            Datagram::FromTarget(machine, packet) => self.handle_target_packet(machine, packet),
+            Datagram::ToClient(packet) => self.deliver_to_client(&packet),
+            Datagram::Reset(flow, number) => self.handle_client_reset(&flow, number),
         }
     }
 
-    fn at_balancer(&mut self, number: usize, packet: Packet) {
+    fn handle_client_packet(&mut self, number: usize, packet: Packet) {
         let now = self.now();
         let balancer = &mut self.balancers[number];
         if !balancer.running {
             return;
         }
         if balancer.paused {
-            balancer.held.push(Datagram::ToBalancer(number, packet));
+            balancer.queued.push(Datagram::ToBalancer(number, packet));
             return;
         }
         let bytes = encode(&packet);
         let step = balancer
-            .decisions
+            .logic
             .handle_packet(&packet.head, &bytes, &balancer.view, now);
-        self.carry_out(number, step, packet);
+        self.execute_balancer_step(number, step, packet);
     }
 
-    fn word(&mut self, number: usize, frame: PeerFrame, packet: Option<Packet>) {
+    fn handle_balancer_frame(&mut self, number: usize, frame: PeerFrame, packet: Option<Packet>) {
         let now = self.now();
         let balancer = &mut self.balancers[number];
         if !balancer.running {
             return;
         }
         if balancer.paused {
-            balancer.held.push(Datagram::Word(number, frame, packet));
+            balancer
+                .queued
+                .push(Datagram::FrameToBalancer(number, frame, packet));
             return;
         }
         match (frame, packet) {
-            (PeerFrame::Note(note), _) => {
+            (PeerFrame::Note(update), _) => {
                 let notice = balancer
-                    .decisions
-                    .zone_notice(&note.load, &balancer.view, now);
-                let outcome = balancer.decisions.handle_flow_update(&note, now);
+                    .logic
+                    .zone_notice(&update.load, &balancer.view, now);
+                let outcome = balancer.logic.handle_flow_update(&update, now);
                 if let Some(reset) = outcome.reset {
                     self.reset_lost(&reset);
                 }
-                self.tell_zone(number, note.load.agent, notice);
+                self.send_zone_notice(number, update.load.agent, notice);
             }
             (PeerFrame::Load(report), _) => {
-                let notice = balancer.decisions.zone_notice(&report, &balancer.view, now);
-                balancer.decisions.record_load(&report, now);
-                self.tell_zone(number, report.agent, notice);
+                let notice = balancer.logic.zone_notice(&report, &balancer.view, now);
+                balancer.logic.record_load(&report, now);
+                self.send_zone_notice(number, report.agent, notice);
             }
-            (PeerFrame::ErrandEnd(word), _) => {
-                if let Some(reset) = balancer.decisions.handle_search_result(&word, now) {
+            (PeerFrame::ErrandEnd(result), _) => {
+                if let Some(reset) = balancer.logic.handle_search_result(&result, now) {
                     self.reset_lost(&reset);
                 }
             }
             (PeerFrame::Unknown { agent }, Some(packet)) => {
                 let bytes = encode(&packet);
-                let step = balancer.decisions.handle_returned_packet(
+                let step = balancer.logic.handle_returned_packet(
                     &packet.head,
                     &bytes,
                     agent,
                     &balancer.view,
                     now,
                 );
-                self.carry_out(number, step, packet);
+                self.execute_balancer_step(number, step, packet);
             }
             _ => {}
         }
     }
 
-    fn tell_zone(&mut self, number: usize, agent: AgentAddress, notice: Option<ZoneNotice>) {
-        if let Some(notice) = notice.filter(|_| !self.is_cut(number, agent)) {
-            self.send(Datagram::Frame(agent, PeerFrame::Zone(notice), None));
+    fn send_zone_notice(&mut self, number: usize, agent: AgentAddress, notice: Option<ZoneNotice>) {
+        if let Some(notice) = notice.filter(|_| !self.is_unreachable(number, agent)) {
+            self.send(Datagram::FrameToAgent(agent, PeerFrame::Zone(notice), None));
         }
     }
 
-    fn carry_out(&mut self, number: usize, step: BalancerStep, packet: Packet) {
+    fn execute_balancer_step(&mut self, number: usize, step: BalancerStep, packet: Packet) {
         match step {
             BalancerStep::Send {
                 to, frame, relay, ..
             } => {
-                // The relay's zone reaches both.
-                if relay.is_some_and(|relay| !self.is_cut(number, relay)) {
+                // The relay is in a zone that reaches both.
+                if relay.is_some_and(|relay| !self.is_unreachable(number, relay)) {
                     let frame = PeerFrame::Packet(frame.clone());
-                    self.send(Datagram::Frame(to, frame, Some(packet)));
+                    self.send(Datagram::FrameToAgent(to, frame, Some(packet)));
                 }
                 self.send_frame(number, to, frame, packet);
             }
@@ -477,39 +493,40 @@
                 self.send(Datagram::Reset(packet.head.flow, packet.head.acknowledged));
             }
             BalancerStep::Hold => {
-                let held = Datagram::ToBalancer(number, packet);
-                self.balancers[number].held.push(held);
+                let queued = Datagram::ToBalancer(number, packet);
+                self.balancers[number].queued.push(queued);
             }
             BalancerStep::Lost | BalancerStep::Drop => {}
         }
     }
 
-    /// Without the mechanism only one agent is asked, the same at each step of a search.
+    /// Sends the queries of a search. With searches disabled, only one agent is queried, the same in
+    /// every phase.
     fn search(&mut self, number: usize, frames: SearchFrames, packet: Packet) {
         for (to, mut frame) in frames {
             if !self.mechanisms.search {
-                if to != self.only_agent(&packet.head.flow) {
+                if to != self.single_search_agent(&packet.head.flow) {
                     continue;
                 }
-                if let PeerFrame::Errand(errand) = &mut frame {
-                    errand.others.clear();
+                if let PeerFrame::Errand(search) = &mut frame {
+                    search.others.clear();
                 }
             }
-            if !self.is_cut(number, to) {
-                self.send(Datagram::Frame(to, frame, Some(packet)));
+            if !self.is_unreachable(number, to) {
+                self.send(Datagram::FrameToAgent(to, frame, Some(packet)));
             }
         }
     }
 
-    fn only_agent(&self, flow: &FlowKey) -> AgentAddress {
-        let one = flow.point() % self.machines.len() as u64;
-        self.machines[usize::try_from(one).unwrap_or(0)].agent
+    fn single_search_agent(&self, flow: &FlowKey) -> AgentAddress {
+        let index = flow.point() % self.machines.len() as u64;
+        self.machines[usize::try_from(index).unwrap_or(0)].agent
     }
 
     fn send_frame(&mut self, number: usize, to: AgentAddress, frame: PacketFrame, packet: Packet) {
-        if !self.is_cut(number, to) {
+        if !self.is_unreachable(number, to) {
             let frame = PeerFrame::Packet(frame);
-            self.send(Datagram::Frame(to, frame, Some(packet)));
+            self.send(Datagram::FrameToAgent(to, frame, Some(packet)));
         }
     }
 
@@ -519,7 +536,8 @@
         }
     }
 
-    /// The running machine at an address: machines are numbered from 1 in the order of their addresses.
+    /// Returns the machine at an address if its agent runs. Machines are numbered from 1 in the order
+    /// of their addresses.
     pub(crate) fn machine_at(&self, agent: AgentAddress) -> Option<usize> {
         let [_, _, high, low] = agent.0.ip().octets();
         let number = usize::from(u16::from_be_bytes([high, low]));
@@ -528,41 +546,52 @@
         (machine.agent == agent && machine.running).then_some(at)
     }
 
-    fn frame(&mut self, agent: AgentAddress, frame: PeerFrame, packet: Option<Packet>) {
+    fn handle_agent_frame(
+        &mut self,
+        agent: AgentAddress,
+        frame: PeerFrame,
+        packet: Option<Packet>,
+    ) {
         let Some(at) = self.machine_at(agent) else {
             return;
         };
         let now = self.now();
         let machine = &mut self.machines[at];
         if machine.paused {
-            machine.held.push(Datagram::Frame(agent, frame, packet));
+            machine
+                .queued
+                .push(Datagram::FrameToAgent(agent, frame, packet));
             return;
         }
         let (mut frame, packet) = match (frame, packet) {
             (PeerFrame::Packet(frame), Some(packet)) => (frame, packet),
             (PeerFrame::Probe { balancer }, _) => {
-                let report = machine.decisions.handle_probe(balancer, now);
-                self.send_word(balancer, at, PeerFrame::Load(report), None);
+                let report = machine.logic.handle_probe(balancer, now);
+                self.send_from_agent(balancer, at, PeerFrame::Load(report), None);
                 return;
             }
-            (PeerFrame::Errand(errand), Some(packet)) => {
+            (PeerFrame::Errand(search), Some(packet)) => {
                 let step = machine
-                    .decisions
-                    .handle_delegated_search(&errand, &packet.head, now);
+                    .logic
+                    .handle_delegated_search(&search, &packet.head, now);
                 for (to, frame) in step.remote {
-                    self.send(Datagram::Frame(to, PeerFrame::Packet(frame), Some(packet)));
+                    self.send(Datagram::FrameToAgent(
+                        to,
+                        PeerFrame::Packet(frame),
+                        Some(packet),
+                    ));
                 }
-                self.agent_step(at, step.local, packet);
-                self.tell(at, step.update);
+                self.execute_agent_step(at, step.local, packet);
+                self.send_flow_update(at, step.update);
                 return;
             }
             (PeerFrame::Zone(notice), _) => {
-                machine.decisions.handle_zone_notice(&notice, now);
+                machine.logic.handle_zone_notice(&notice, now);
                 return;
             }
-            (PeerFrame::Note(word), _) => {
-                let ended = machine.decisions.handle_flow_update(&word);
-                self.end_errands(at, ended);
+            (PeerFrame::Note(update), _) => {
+                let ended = machine.logic.handle_flow_update(&update);
+                self.send_search_results(at, ended);
                 return;
             }
             _ => return,
@@ -571,33 +600,36 @@
             frame.service = machine.target.service;
         }
         let mut head = packet.head;
-        if !self.mechanisms.number_check {
-            head.acknowledged = machine.target.expected(&head).unwrap_or(head.acknowledged);
+        if !self.mechanisms.acknowledgement_check {
+            head.acknowledged = machine
+                .target
+                .expected_acknowledgement(&head)
+                .unwrap_or(head.acknowledged);
         }
-        let (step, note) = machine.decisions.handle_frame(frame, &head, now);
-        self.agent_step(at, step, packet);
-        self.tell(at, note);
+        let (step, update) = machine.logic.handle_frame(frame, &head, now);
+        self.execute_agent_step(at, step, packet);
+        self.send_flow_update(at, update);
     }
 
-    fn target_packet(&mut self, at: usize, packet: Packet) {
+    fn handle_target_packet(&mut self, at: usize, packet: Packet) {
         let now = self.now();
         let machine = &mut self.machines[at];
         if !machine.running {
             return;
         }
         if machine.paused {
-            machine.held.push(Datagram::FromTarget(at, packet));
+            machine.queued.push(Datagram::FromTarget(at, packet));
             return;
         }
-        let (step, note) = machine.decisions.handle_target_packet(&packet.head, now);
+        let (step, update) = machine.logic.handle_target_packet(&packet.head, now);
         let mut packet = packet;
         packet.head.flags.returned = false;
         packet.head.tag = 0;
-        self.agent_step(at, step, packet);
-        self.tell(at, note);
+        self.execute_agent_step(at, step, packet);
+        self.send_flow_update(at, update);
     }
 
-    fn agent_step(&mut self, at: usize, step: AgentStep, packet: Packet) {
+    fn execute_agent_step(&mut self, at: usize, step: AgentStep, packet: Packet) {
         match step {
             AgentStep::Deliver { tag } => {
                 let mut packet = packet;
@@ -605,11 +637,15 @@
                 self.send(Datagram::ToTarget(at, packet));
             }
             AgentStep::Forward { to, frame } => {
-                self.send(Datagram::Frame(to, PeerFrame::Packet(frame), Some(packet)));
+                self.send(Datagram::FrameToAgent(
+                    to,
+                    PeerFrame::Packet(frame),
+                    Some(packet),
+                ));
             }
             AgentStep::Return { to } => {
                 let agent = self.machines[at].agent;
-                self.send_word(to, at, PeerFrame::Unknown { agent }, Some(packet));
+                self.send_from_agent(to, at, PeerFrame::Unknown { agent }, Some(packet));
             }
             AgentStep::ToClient => self.send(Datagram::ToClient(packet)),
             AgentStep::Reset => {
@@ -623,23 +659,23 @@
         }
     }
 
-    fn end_errands(
+    fn send_search_results(
         &mut self,
         at: usize,
         ended: impl IntoIterator<Item = (AgentAddress, SearchResult)>,
     ) {
-        for (balancer, word) in ended {
-            self.send_word(balancer, at, PeerFrame::ErrandEnd(word), None);
+        for (balancer, result) in ended {
+            self.send_from_agent(balancer, at, PeerFrame::ErrandEnd(result), None);
         }
     }
 
-    fn tell(&mut self, at: usize, note: Option<(AgentAddress, FlowUpdate)>) {
-        if let Some((to, note)) = note {
-            self.send_word(to, at, PeerFrame::Note(note), None);
+    fn send_flow_update(&mut self, at: usize, update: Option<(AgentAddress, FlowUpdate)>) {
+        if let Some((to, update)) = update {
+            self.send_from_agent(to, at, PeerFrame::Note(update), None);
         }
     }
 
-    fn send_word(
+    fn send_from_agent(
         &mut self,
         to: AgentAddress,
         from: usize,
@@ -647,35 +683,38 @@
         packet: Option<Packet>,
     ) {
         let agent = self.machines[from].agent;
-        let number = self.balancers.iter().position(|one| one.own == to);
+        let number = self
+            .balancers
+            .iter()
+            .position(|balancer| balancer.own_address == to);
         let Some(number) = number else {
-            // Another agent, which looks for a flow.
-            self.send(Datagram::Frame(to, frame, packet));
+            // The recipient is an agent with a delegated search.
+            self.send(Datagram::FrameToAgent(to, frame, packet));
             return;
         };
-        if !self.is_cut(number, agent) {
-            self.send(Datagram::Word(number, frame, packet));
+        if !self.is_unreachable(number, agent) {
+            self.send(Datagram::FrameToBalancer(number, frame, packet));
         }
     }
 
-    fn at_target(&mut self, at: usize, packet: Packet) {
+    fn deliver_to_target(&mut self, at: usize, packet: Packet) {
         let now = self.now();
-        let number = self.rng.random();
+        let initial_sequence = self.rng.random();
         let machine = &mut self.machines[at];
         if !machine.target.running {
             if machine.running {
-                machine.decisions.handle_connection_refused(now);
+                machine.logic.handle_connection_refused(now);
             }
             return;
         }
         let (start, service, zone) = (machine.target.start, machine.target.service, machine.zone);
         let flow = packet.head.flow;
-        let (step, noted) = machine.target.take(&packet, number);
-        if noted.accepted {
+        let (action, progress) = machine.target.handle_packet(&packet, initial_sequence);
+        if progress.accepted {
             let allowed = self.allowed.get(&flow.service_address);
             let allowed = allowed.is_some_and(|services| services.contains(&service));
             let evacuated = self.is_evacuated(zone);
-            self.note(OpaqueEvent::Accepted {
+            self.record(OpaqueEvent::Accepted {
                 flow,
                 target: start,
                 service,
@@ -683,29 +722,29 @@
                 evacuated,
             });
         }
-        if noted.opened {
+        if progress.opened {
             let target = start;
-            self.note(OpaqueEvent::Opened { flow, target });
+            self.record(OpaqueEvent::Opened { flow, target });
             if self.clients[0].owns(&flow) {
-                self.home = Some(at);
+                self.holder_machine = Some(at);
             }
         }
         if !packet.head.opens() {
             let target = start;
-            self.note(OpaqueEvent::Reached { flow, target });
+            self.record(OpaqueEvent::Delivered { flow, target });
         }
-        match step {
-            TargetStep::Send(packet) => self.send(Datagram::FromTarget(at, packet)),
-            TargetStep::Run(request) => {
-                self.note(OpaqueEvent::Ran { request, flow });
-                let finished = WorldEvent::Finished(at, start, flow, request);
-                self.queue.push(WORK, finished);
+        match action {
+            TargetAction::Send(packet) => self.send(Datagram::FromTarget(at, packet)),
+            TargetAction::Run(request) => {
+                self.record(OpaqueEvent::Ran { request, flow });
+                let finished = WorldEvent::RequestDone(at, start, flow, request);
+                self.queue.push(WORK_TIME_MS, finished);
             }
-            TargetStep::Nothing => {}
+            TargetAction::Ignore => {}
         }
     }
 
-    fn finish(&mut self, at: usize, start: u32, flow: FlowKey, request: u64) {
+    fn finish_request(&mut self, at: usize, start: u32, flow: FlowKey, request: u64) {
         let target = &mut self.machines[at].target;
         if target.start != start {
             return;
@@ -717,92 +756,93 @@
 
     // Clients.
 
-    fn at_client(&mut self, packet: &Packet) {
+    fn deliver_to_client(&mut self, packet: &Packet) {
         let flow = packet.head.flow;
         let client = self.clients.iter().position(|client| client.owns(&flow));
         if let Some(client) = client {
-            let actions = self.clients[client].take(packet);
-            self.act(client, actions);
+            let actions = self.clients[client].handle_packet(packet);
+            self.execute_client_actions(client, actions);
         }
     }
 
-    fn client_reset(&mut self, flow: &FlowKey, number: u32) {
+    fn handle_client_reset(&mut self, flow: &FlowKey, number: u32) {
         let Some(client) = self.clients.iter().position(|client| client.owns(flow)) else {
             return;
         };
         if self.clients[client].has_open(flow) {
             let reachable = self.is_reachable(flow);
             let flow = *flow;
-            self.note(OpaqueEvent::ResetOpen { flow, reachable });
-            let actions = self.clients[client].take_reset(number);
-            self.act(client, actions);
+            self.record(OpaqueEvent::ResetOpen { flow, reachable });
+            let actions = self.clients[client].handle_reset(number);
+            self.execute_client_actions(client, actions);
         } else if self.clients[client].is_current(flow) {
-            // Only a reset that the client takes tells it that nothing ran.
-            self.note(OpaqueEvent::ResetBefore { flow: *flow });
-            let actions = self.clients[client].take_reset(number);
-            self.act(client, actions);
+            // Only a reset that the client accepts tells it that nothing ran.
+            self.record(OpaqueEvent::ResetUnopened { flow: *flow });
+            let actions = self.clients[client].handle_reset(number);
+            self.execute_client_actions(client, actions);
         }
     }
 
-    /// Whether a flow's target lives and could be reached all the while.
+    /// Whether a flow's target runs and has not been disrupted within [`DISRUPTION_GRACE`].
     fn is_reachable(&self, flow: &FlowKey) -> bool {
         let holder = self.machines.iter().find(|one| one.target.holds(flow));
         holder.is_some_and(|machine| {
-            let calm = self.now().since(machine.disturbed) > EXCUSE;
-            let calm = calm || machine.disturbed == Moment::ZERO;
-            machine.running && !machine.paused && calm
+            let is_undisrupted = self.now().since(machine.disrupted_at) > DISRUPTION_GRACE;
+            let is_undisrupted = is_undisrupted || machine.disrupted_at == Moment::ZERO;
+            machine.running && !machine.paused && is_undisrupted
         })
     }
 
-    fn act(&mut self, client: usize, actions: Vec<ClientAction>) {
+    fn execute_client_actions(&mut self, client: usize, actions: Vec<ClientAction>) {
         for action in actions {
             match action {
                 ClientAction::Send(packet) => {
-                    if let Some(balancer) = self.routed(&packet.head.flow) {
+                    if let Some(balancer) = self.choose_balancer(&packet.head.flow) {
                         self.send(Datagram::ToBalancer(balancer, packet));
                     }
                 }
-                ClientAction::Timer(after, timer) => {
-                    self.queue.push(after, WorldEvent::Client(client, timer));
+                ClientAction::SetTimer(after, timer) => {
+                    self.queue
+                        .push(after, WorldEvent::ClientTimer(client, timer));
                 }
-                ClientAction::Served(request) => self.note(OpaqueEvent::Served { request }),
+                ClientAction::Served(request) => self.record(OpaqueEvent::Served { request }),
                 ClientAction::Failed(request) => {
-                    let begun = self.begun.get(&request).copied().unwrap_or_default();
-                    let healed = self.last_trouble + HEALING_SPAN;
-                    let after_healing = begun > healed;
-                    self.note(OpaqueEvent::Failed {
+                    let started_at = self.started_at.get(&request).copied().unwrap_or_default();
+                    let recovered = self.last_disruption + RECOVERY_WINDOW;
+                    let after_recovery = started_at > recovered;
+                    self.record(OpaqueEvent::Failed {
                         request,
-                        after_healing,
+                        after_recovery,
                     });
                 }
-                ClientAction::Step(step) if client == 0 => self.reach(step),
-                ClientAction::Step(_) => {}
-                ClientAction::Begin(request) => {
+                ClientAction::StepReached(step) if client == 0 => self.reach_step(step),
+                ClientAction::StepReached(_) => {}
+                ClientAction::RequestStarted(request) => {
                     let now = self.now();
-                    self.begun.insert(request, now);
+                    self.started_at.insert(request, now);
                 }
             }
         }
     }
 
-    fn reach(&mut self, step: OpaqueStep) {
-        if self.reached.contains(&step) {
+    fn reach_step(&mut self, step: OpaqueStep) {
+        if self.reached_steps.contains(&step) {
             return;
         }
-        self.reached.push(step);
+        self.reached_steps.push(step);
         let faults: Vec<_> = self.plan.faults_at(step).collect();
         for fault in faults {
-            self.note(OpaqueEvent::Fault(format!("{fault:?} before {step:?}")));
-            self.last_trouble = self.last_trouble.max(self.now());
-            self.strike(fault);
+            self.record(OpaqueEvent::Fault(format!("{fault:?} before {step:?}")));
+            self.last_disruption = self.last_disruption.max(self.now());
+            self.inject(fault);
         }
     }
 
-    /// The balancer that a router sends a flow's packets to.
-    fn routed(&self, flow: &FlowKey) -> Option<usize> {
+    /// Returns the balancer that the router sends a flow's packets to.
+    fn choose_balancer(&self, flow: &FlowKey) -> Option<usize> {
         let rank = |number: usize| {
-            let mixed =
-                flow.point() ^ (self.salt + number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            let mixed = flow.point()
+                ^ (self.router_salt + number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             mixed.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 20
         };
         let numbers = 0..self.balancers.len();
@@ -813,10 +853,10 @@
             .or_else(|| any.max_by_key(|&one| rank(one)))
     }
 
-    // Timers of the processes.
+    // Process timers.
 
     fn tick(&mut self) {
-        self.queue.push(TICK, WorldEvent::Tick);
+        self.queue.push(TICK_MS, WorldEvent::Tick);
         self.ticks += 1;
         for number in 0..self.balancers.len() {
             if self.balancers[number].running && !self.balancers[number].paused {
@@ -826,18 +866,18 @@
         for at in 0..self.machines.len() {
             if self.machines[at].running && !self.machines[at].paused {
                 let now = self.now();
-                let ended = self.machines[at].decisions.expired_searches(now);
-                self.end_errands(at, ended);
+                let ended = self.machines[at].logic.expired_searches(now);
+                self.send_search_results(at, ended);
             }
         }
-        if self.ticks.is_multiple_of(REPORT / TICK) {
+        if self.ticks.is_multiple_of(REPORT_INTERVAL_MS / TICK_MS) {
             for at in 0..self.machines.len() {
                 if self.machines[at].running && !self.machines[at].paused {
-                    self.report(at);
+                    self.send_load_report(at);
                 }
             }
         }
-        self.note_disturbances();
+        self.record_disruptions();
     }
 
     fn balancer_timers(&mut self, number: usize) {
@@ -850,18 +890,20 @@
         if ended || balancer.builder.is_complete(now) != balancer.view.is_complete() {
             balancer.view = balancer.builder.build(now);
         }
-        let due = balancer.decisions.due_offers(&balancer.view, now);
-        let searches = balancer.decisions.due_searches(&balancer.view, now);
-        let lost = balancer.decisions.lost_flows(&balancer.view, now);
-        balancer.decisions.expire_idle(FLOW_LIFETIME, now);
-        let own = balancer.own;
-        let probes = balancer.decisions.due_probes(now);
+        let due = balancer.logic.due_offers(&balancer.view, now);
+        let searches = balancer.logic.due_searches(&balancer.view, now);
+        let lost = balancer.logic.lost_flows(&balancer.view, now);
+        balancer.logic.expire_idle(FLOW_LIFETIME, now);
+        let own_address = balancer.own_address;
+        let probes = balancer.logic.due_probes(now);
         for agent in probes {
-            if self.is_cut(number, agent) {
+            if self.is_unreachable(number, agent) {
                 continue;
             }
-            let probe = PeerFrame::Probe { balancer: own };
-            self.send(Datagram::Frame(agent, probe, None));
+            let probe = PeerFrame::Probe {
+                balancer: own_address,
+            };
+            self.send(Datagram::FrameToAgent(agent, probe, None));
         }
         for offer in due {
             let packet = decode(&offer.bytes);
@@ -881,52 +923,53 @@
         }
     }
 
-    fn report(&mut self, at: usize) {
+    fn send_load_report(&mut self, at: usize) {
         let now = self.now();
         let machine = &mut self.machines[at];
-        machine.decisions.expire_idle(FLOW_LIFETIME, now);
-        let (listeners, report) = machine.decisions.load_report(now);
+        machine.logic.expire_idle(FLOW_LIFETIME, now);
+        let (listeners, report) = machine.logic.load_report(now);
         for listener in listeners {
-            self.send_word(listener, at, PeerFrame::Load(report), None);
+            self.send_from_agent(listener, at, PeerFrame::Load(report), None);
         }
     }
 
-    /// While the network loses packets, nothing that a lack of packets causes is held against
-    /// anybody.
-    fn note_disturbances(&mut self) {
+    /// Records the disrupted targets. All count as disrupted while the network loses or delays packets,
+    /// so that consequences of lost packets are not counted as violations.
+    fn record_disruptions(&mut self) {
         let now = self.now();
-        let lossy = self.network.drop > 0.0 || self.network.jitter > SLOW_JITTER;
+        let lossy = self.network.drop > 0.0 || self.network.jitter_ms > DISRUPTIVE_JITTER_MS;
         let cut: Vec<_> = self
             .balancers
             .iter()
-            .filter_map(|one| one.cut_from)
+            .filter_map(|one| one.unreachable_agent)
             .collect();
         if self.balancers.iter().any(|one| one.stale || one.paused) {
-            self.astray = now;
+            self.last_view_fault = now;
         }
-        let cut_zones = self.cut_zones;
-        let mut disturbed = Vec::new();
+        let partitioned_zones = self.partitioned_zones;
+        let mut disrupted = Vec::new();
         for machine in &mut self.machines {
             let away = machine.paused || !machine.running || !machine.target.running;
-            let cut_off = cut_zones.is_some_and(|(a, b)| machine.zone == a || machine.zone == b);
+            let cut_off =
+                partitioned_zones.is_some_and(|(a, b)| machine.zone == a || machine.zone == b);
             if away || lossy || cut_off || cut.contains(&machine.agent) {
-                machine.disturbed = now;
-                disturbed.push(machine.target.start);
+                machine.disrupted_at = now;
+                disrupted.push(machine.target.start);
             }
         }
-        for target in disturbed {
-            self.note(OpaqueEvent::Disturbed { target });
+        for target in disrupted {
+            self.record(OpaqueEvent::Disrupted { target });
         }
     }
 }
 
-/// The fake's packets as bytes: what an offer or a search keeps while it waits.
+/// Encodes a packet as the bytes that a pending offer or search keeps.
 fn encode(packet: &Packet) -> Vec<u8> {
-    postcard::to_stdvec(packet).expect("a vector takes anything")
+    postcard::to_stdvec(packet).expect("encoding into a vector")
 }
 
 fn decode(bytes: &[u8]) -> Packet {
-    postcard::from_bytes(bytes).expect("what was encoded")
+    postcard::from_bytes(bytes).expect("a packet from `encode`")
 }
 
 pub(crate) fn claims() -> ServiceName {
--- a/tests/matrix/src/plan.rs
+++ b/tests/matrix/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which fault strikes at which step, and the table of what came of it.
+//! Plans of faults by step, and the report over their runs.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -7,94 +7,95 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Failures that are kept with their whole text; the rest are only counted.
-const KEPT_FAILURES: usize = 3;
+/// Failures that are reported in full; the others are only counted.
+const MAX_REPORTED_FAILURES: usize = 3;
 
-/// Records that a failure's text shows, counted from the end.
-const SHOWN_TAIL: usize = 40;
+/// Records at the end of a history that a reported failure shows.
+const REPORTED_TAIL_RECORDS: usize = 40;
 
-/// Faults by the step before which each strikes, with the seed of everything else.
+/// Faults with the step before which each is injected, and the seed of all other random choices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultPlan<F, S> {
-    /// The faults. Two of them may be the same one, at one step or at two.
-    pub strikes: Vec<(F, S)>,
-    /// The seed of the run.
+    /// Pairs of fault and step. A fault may occur twice, at the same step or at two.
+    pub faults: Vec<(F, S)>,
+    /// Seed of the run.
     pub seed: u64,
 }
 
 impl<F: Copy, S: Copy + PartialEq> FaultPlan<F, S> {
-    /// The faults that strike before a step.
+    /// The faults to inject before a step.
     pub fn faults_at(&self, step: S) -> impl Iterator<Item = F> + '_ {
-        let here = self.strikes.iter().filter(move |(_, at)| *at == step);
-        here.map(|(fault, _)| *fault)
+        let matching = self.faults.iter().filter(move |(_, at)| *at == step);
+        matching.map(|(fault, _)| *fault)
     }
 }
 
-/// What happened in one run, as far as the report looks at it.
+/// The history of one run, as far as the report needs it.
 pub trait RunHistory {
-    /// How often each promise was broken; only the broken ones.
+    /// Number of violations by guarantee; guarantees without violations are absent.
     fn violations(&self) -> BTreeMap<&'static str, usize>;
 
-    /// How many faults struck.
-    fn faults(&self) -> usize;
+    /// Number of faults that were injected.
+    fn injected_faults(&self) -> usize;
 
-    /// The last records as text.
+    /// The last `count` records as text.
     fn tail(&self, count: usize) -> String;
 
-    /// See [`MatrixReport::two_wrong_views`].
-    fn cut_by_two_wrong_views(&self) -> usize {
+    /// See [`MatrixReport::resets_by_wrong_views`].
+    fn resets_by_wrong_views(&self) -> usize {
         0
     }
 
-    /// See [`MatrixReport::silent_since_leaving`].
-    fn silent_since_leaving(&self) -> usize {
+    /// See [`MatrixReport::timeouts_after_leaving`].
+    fn timeouts_after_leaving(&self) -> usize {
         0
     }
 }
 
-/// What came of the runs of one protocol.
+/// Results of the runs of one scenario.
 #[derive(Clone, Debug, Default)]
 pub struct MatrixReport {
-    /// The name of the protocol.
-    pub protocol: &'static str,
-    /// Histories that were played.
-    pub histories: usize,
-    /// Histories that broke a promise.
-    pub broken: usize,
-    /// Histories that broke it, by promise.
-    pub promises: BTreeMap<&'static str, usize>,
-    /// Faults that were planned, and that struck: a step may not be reached in a run.
-    pub planned: usize,
-    /// See `planned`.
-    pub struck: usize,
-    /// Flows cut because two views were wrong about one agent at once; no promise covers them.
-    pub two_wrong_views: usize,
-    /// Flows that went silent since their holder died while it was leaving; no promise covers
+    /// Name of the scenario, such as "flow, one fault".
+    pub scenario: &'static str,
+    /// Number of runs.
+    pub runs: usize,
+    /// Number of runs that violated a guarantee.
+    pub failed_runs: usize,
+    /// Number of runs that violated each guarantee.
+    pub violations: BTreeMap<&'static str, usize>,
+    /// Number of faults in the plans.
+    pub planned_faults: usize,
+    /// Number of faults that were injected. Lower than `planned_faults` if runs did not reach the
+    /// planned steps.
+    pub injected_faults: usize,
+    /// Flows reset because two views were wrong about one agent at once; no guarantee covers them.
+    pub resets_by_wrong_views: usize,
+    /// Flows that timed out because their holder crashed while it was leaving; no guarantee covers
     /// them.
-    pub silent_since_leaving: usize,
-    /// Runs and broken runs, by fault and step.
+    pub timeouts_after_leaving: usize,
+    /// Number of runs and of failed runs, by fault and step.
     pub cells: BTreeMap<(String, String), (usize, usize)>,
-    /// The first failures: seed, faults, steps and the tail of the history.
+    /// Texts of the first failures: scenario, plan, violations and the end of the history.
     pub failures: Vec<String>,
 }
 
 impl MatrixReport {
-    /// A report of no runs yet.
+    /// Creates an empty report.
     #[must_use]
-    pub fn new(protocol: &'static str) -> Self {
+    pub fn new(scenario: &'static str) -> Self {
         Self {
-            protocol,
+            scenario,
             ..Self::default()
         }
     }
 
-    /// Plays every fault before every step with each seed.
-    pub fn play_singles<F, S, H>(
+    /// Runs every fault at every step with each seed.
+    pub fn run_single_faults<F, S, H>(
         &mut self,
         faults: &[F],
         steps: &[S],
         seeds: std::ops::Range<u64>,
-        play: impl Fn(&FaultPlan<F, S>) -> H,
+        run: impl Fn(&FaultPlan<F, S>) -> H,
     ) where
         F: Copy + Debug,
         S: Copy + Debug + PartialEq,
@@ -103,22 +104,24 @@
         for &fault in faults {
             for &step in steps {
                 for seed in seeds.clone() {
-                    let strikes = vec![(fault, step)];
-                    let plan = FaultPlan { strikes, seed };
-                    self.note(&plan, &play(&plan));
+                    let plan = FaultPlan {
+                        faults: vec![(fault, step)],
+                        seed,
+                    };
+                    self.record(&plan, &run(&plan));
                 }
             }
         }
     }
 
-    /// Plays two faults at once: each fault twice, at steps that the seed draws, and then pairs
-    /// that it draws, until `count` histories were played.
-    pub fn play_pairs<F, S, H>(
+    /// Runs plans of two faults: first each fault paired with itself at random steps, then random
+    /// pairs, `count` plans in total. The seed of a plan is its number.
+    pub fn run_fault_pairs<F, S, H>(
         &mut self,
         faults: &[F],
         steps: &[S],
         count: u64,
-        play: impl Fn(&FaultPlan<F, S>) -> H,
+        run: impl Fn(&FaultPlan<F, S>) -> H,
     ) where
         F: Copy + Debug,
         S: Copy + Debug + PartialEq,
@@ -126,54 +129,55 @@
     {
         for seed in 0..count {
             let mut rng = SmallRng::seed_from_u64(seed);
-            let twice = usize::try_from(seed).ok().and_then(|at| faults.get(at));
+            let doubled = usize::try_from(seed).ok().and_then(|at| faults.get(at));
             let pick = |rng: &mut SmallRng| faults[rng.random_range(0..faults.len())];
-            let pair = match twice {
+            let pair = match doubled {
                 Some(&fault) => [fault, fault],
                 None => [pick(&mut rng), pick(&mut rng)],
             };
-            let strikes = pair.map(|fault| (fault, steps[rng.random_range(0..steps.len())]));
+            let placed = pair.map(|fault| (fault, steps[rng.random_range(0..steps.len())]));
             let plan = FaultPlan {
-                strikes: strikes.to_vec(),
+                faults: placed.to_vec(),
                 seed,
             };
-            self.note(&plan, &play(&plan));
+            self.record(&plan, &run(&plan));
         }
     }
 
-    fn note<F, S, H>(&mut self, plan: &FaultPlan<F, S>, history: &H)
+    fn record<F, S, H>(&mut self, plan: &FaultPlan<F, S>, history: &H)
     where
         F: Debug,
         S: Debug,
         H: RunHistory,
     {
         let violations = history.violations();
-        self.planned += plan.strikes.len();
-        self.struck += history.faults();
-        self.two_wrong_views += history.cut_by_two_wrong_views();
-        self.silent_since_leaving += history.silent_since_leaving();
+        self.planned_faults += plan.faults.len();
+        self.injected_faults += history.injected_faults();
+        self.resets_by_wrong_views += history.resets_by_wrong_views();
+        self.timeouts_after_leaving += history.timeouts_after_leaving();
         let failed = usize::from(!violations.is_empty());
-        self.histories += 1;
-        self.broken += failed;
-        for (fault, step) in &plan.strikes {
+        self.runs += 1;
+        self.failed_runs += failed;
+        for (fault, step) in &plan.faults {
             let cell = (format!("{fault:?}"), format!("{step:?}"));
             let cell = self.cells.entry(cell).or_default();
             cell.0 += 1;
             cell.1 += failed;
         }
-        for (&promise, &count) in &violations {
-            *self.promises.entry(promise).or_default() += usize::from(count > 0);
+        for (&guarantee, &count) in &violations {
+            *self.violations.entry(guarantee).or_default() += usize::from(count > 0);
         }
-        if failed > 0 && self.failures.len() < KEPT_FAILURES {
-            let tail = history.tail(SHOWN_TAIL);
-            let protocol = self.protocol;
+        if failed > 0 && self.failures.len() < MAX_REPORTED_FAILURES {
+            let tail = history.tail(REPORTED_TAIL_RECORDS);
+            let scenario = self.scenario;
             self.failures.push(format!(
-                "protocol {protocol}, {plan:?}: {violations:?}\n{tail}"
+                "scenario {scenario}, {plan:?}: {violations:?}\n{tail}"
             ));
         }
     }
 
-    /// The table of broken and played histories, a fault a line and a step a column.
+    /// Formats the numbers of failed runs and of runs as a table with a line per fault and a column
+    /// per step.
     #[must_use]
     pub fn table(&self) -> String {
         let mut steps: Vec<&String> = self.cells.keys().map(|(_, step)| step).collect();
@@ -181,22 +185,33 @@
         steps.dedup();
         let mut faults: Vec<&String> = self.cells.keys().map(|(fault, _)| fault).collect();
         faults.dedup();
-        let mut text = format!("{}: {} histories", self.protocol, self.histories);
-        let _ = write!(text, ", {} of {} faults struck", self.struck, self.planned);
-        let _ = writeln!(text, ", {} broken {:?}", self.broken, self.promises);
-        if self.two_wrong_views > 0 {
-            let _ = writeln!(text, "  cut by two wrong views: {}", self.two_wrong_views);
+        let mut text = format!("{}: {} runs", self.scenario, self.runs);
+        let _ = write!(
+            text,
+            ", {} of {} faults injected",
+            self.injected_faults, self.planned_faults
+        );
+        let _ = writeln!(text, ", {} failed {:?}", self.failed_runs, self.violations);
+        if self.resets_by_wrong_views > 0 {
+            let _ = writeln!(
+                text,
+                "  reset by two wrong views: {}",
+                self.resets_by_wrong_views
+            );
         }
-        if self.silent_since_leaving > 0 {
-            let silent = self.silent_since_leaving;
-            let _ = writeln!(text, "  silent since their holder died leaving: {silent}");
+        if self.timeouts_after_leaving > 0 {
+            let count = self.timeouts_after_leaving;
+            let _ = writeln!(
+                text,
+                "  timed out after their holder crashed while leaving: {count}"
+            );
         }
         for fault in faults {
             let _ = write!(text, "  {fault:<22}");
             for step in &steps {
                 let cell = (fault.clone(), (*step).clone());
-                if let Some((played, broken)) = self.cells.get(&cell) {
-                    let _ = write!(text, " {step}:{broken}/{played}");
+                if let Some((runs, failed)) = self.cells.get(&cell) {
+                    let _ = write!(text, " {step}:{failed}/{runs}");
                 }
             }
             text.push('\n');
@@ -204,29 +219,32 @@
         text
     }
 
-    /// Prints how often a mechanism that is off was noticed; fails when a promise that rests on it
-    /// was kept all the same.
+    /// Prints in how many runs the lack of a disabled mechanism was detected, and fails if the
+    /// guarantee that depends on the mechanism was upheld without it.
     ///
     /// # Panics
     ///
-    /// When the promise was kept.
-    pub fn assert_notices(&self, mechanism: &str, promise: &str) {
+    /// If no run violated the guarantee.
+    pub fn assert_violated(&self, mechanism: &str, guarantee: &str) {
         println!(
-            "{mechanism} off: {} of {} histories broken, {:?}",
-            self.broken, self.histories, self.promises
+            "{mechanism} disabled: {} of {} runs failed, {:?}",
+            self.failed_runs, self.runs, self.violations
+        );
+        let detected = self.violations.contains_key(guarantee);
+        assert!(
+            detected,
+            "{guarantee} holds although {mechanism} is disabled"
         );
-        let noticed = self.promises.contains_key(promise);
-        assert!(noticed, "{promise} holds with {mechanism} off");
     }
 
-    /// Prints the table; fails with the first failures when a history broke a promise.
+    /// Prints the table, and fails with the first failures if a run violated a guarantee.
     ///
     /// # Panics
     ///
-    /// When a history broke a promise.
-    pub fn assert_sound(&self) {
+    /// If a run violated a guarantee.
+    pub fn assert_no_violations(&self) {
         println!("{}", self.table());
         let failures = self.failures.join("\n");
-        assert!(self.broken == 0, "{}\n{failures}", self.table());
+        assert!(self.failed_runs == 0, "{}\n{failures}", self.table());
     }
 }
--- a/tests/matrix/src/queue.rs
+++ b/tests/matrix/src/queue.rs
@@ -1,14 +1,14 @@
-//! What is due when: the one queue that stands for the network and the timers.
+//! The single event queue of a simulation, which serves as its network and its timers.
 
 use std::collections::BTreeMap;
 
 use lovagelatch_domain::Moment;
 
-/// Events in order of time; those of one moment in order of their entry.
+/// Events ordered by due time; events due at the same time keep their insertion order.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     events: BTreeMap<(Moment, u64), E>,
-    entered: u64,
+    inserted: u64,
     now: Moment,
 }
 
@@ -16,27 +16,27 @@
     fn default() -> Self {
         Self {
             events: BTreeMap::new(),
-            entered: 0,
+            inserted: 0,
             now: Moment::ZERO,
         }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the event that was taken last.
+    /// Simulated time: the due time of the last popped event.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.now
     }
 
-    /// Adds an event that is due `millis` milliseconds from now.
+    /// Schedules an event `millis` milliseconds from now.
     pub fn push(&mut self, millis: u64, event: E) {
         let due = Moment::from_micros(self.now.as_micros() + millis * 1_000);
-        self.entered += 1;
-        self.events.insert((due, self.entered), event);
+        self.inserted += 1;
+        self.events.insert((due, self.inserted), event);
     }
 
-    /// Takes the next event; time moves on to it.
+    /// Removes the next event and advances the simulated time to it.
     pub fn pop(&mut self) -> Option<E> {
         let ((due, _), event) = self.events.pop_first()?;
         debug_assert!(due >= self.now);
--- a/tests/matrix/src/requests/world.rs
+++ b/tests/matrix/src/requests/world.rs
@@ -121,7 +121,7 @@
             drop_next_reply: false,
             home: rng.random_range(0..AGENTS),
             skips_left: plan
-                .strikes
+                .faults
                 .iter()
                 .map(|(_, step)| (*step, rng.random_range(0..3)))
                 .collect(),
@@ -182,10 +182,10 @@
                 continue;
             }
             self.skips_left[index].1 = u32::MAX;
-            let fault = self.plan.strikes[index].0;
+            let fault = self.plan.faults[index].0;
             let text = format!("{fault:?} at {step:?}, holder {holder}, gate {gate}");
             self.history
-                .note(self.queue.now(), MatrixEvent::Fault(text));
+                .record(self.queue.now(), MatrixEvent::Fault(text));
             let since = &mut self.history.facts.unplanned_since_ms;
             *since = Some(since.unwrap_or(millis(self.queue.now())));
             self.inject(fault, holder, gate);
--- a/tests/matrix/tests/all/checks.rs
+++ b/tests/matrix/tests/all/checks.rs
@@ -5,7 +5,7 @@
 
 use lovagelatch_domain::{AgentAddress, Moment, ServiceId};
 use lovagelatch_history::{BackendHistory, BackendRecord};
-use lovagelatch_matrix::{AgentStart, MatrixEvent, MatrixHistory, PROMISES, RunHistory};
+use lovagelatch_matrix::{AgentStart, GUARANTEES, MatrixEvent, MatrixHistory, RunHistory};
 
 const CLAIMS: ServiceId = ServiceId(1);
 const MAPS: ServiceId = ServiceId(2);
@@ -36,25 +36,25 @@
 }
 
 fn accepted(by: u16, service: ServiceId) -> MatrixEvent {
-    MatrixEvent::PacketTaken {
+    MatrixEvent::PacketAccepted {
         flow: 1,
-        taker: start(by),
+        receiver: start(by),
         service,
         open: true,
     }
 }
 
-fn applied(revision: u64, sound: bool) -> MatrixEvent {
-    MatrixEvent::InForce {
+fn applied(revision: u64, valid: bool) -> MatrixEvent {
+    MatrixEvent::ConfigApplied {
         node: 1,
         start: 1,
         revision,
-        sound,
+        valid,
     }
 }
 
 fn propagation_due(missing: usize, seconds: u64) -> MatrixEvent {
-    MatrixEvent::SpreadDue {
+    MatrixEvent::PropagationDue {
         revision: 2,
         missing,
         reachable_for: Duration::from_secs(seconds),
@@ -62,7 +62,7 @@
 }
 
 fn wrong_view(gone: bool) -> MatrixEvent {
-    MatrixEvent::HeldWrongly {
+    MatrixEvent::WrongView {
         agent: agent(1),
         gone,
     }
@@ -77,9 +77,9 @@
 
 fn flow_cases() -> Vec<CheckCase> {
     let reset = || MatrixEvent::FlowReset { flow: 1 };
-    let silent = || MatrixEvent::FlowSilent { flow: 1 };
-    let ended = || MatrixEvent::AgentEnded(start(1));
-    let leaving = || MatrixEvent::LeavingSaid(agent(1));
+    let silent = || MatrixEvent::FlowTimedOut { flow: 1 };
+    let ended = || MatrixEvent::AgentCrashed(start(1));
+    let leaving = || MatrixEvent::LeavingAnnounced(agent(1));
     vec![
         CheckCase {
             guarantee: "flow_moved_agent",
@@ -91,13 +91,13 @@
             violating: vec![
                 opened(),
                 held(),
-                MatrixEvent::AddressPassed,
+                MatrixEvent::AddressMoved,
                 accepted(1, MAPS),
             ],
             valid: vec![
                 opened(),
                 held(),
-                MatrixEvent::AddressPassed,
+                MatrixEvent::AddressMoved,
                 accepted(1, CLAIMS),
             ],
         },
@@ -119,7 +119,7 @@
         },
         CheckCase {
             guarantee: "flow_broken",
-            violating: vec![opened(), held(), MatrixEvent::AddressPassed, silent()],
+            violating: vec![opened(), held(), MatrixEvent::AddressMoved, silent()],
             valid: vec![opened(), held(), accepted(1, CLAIMS)],
         },
         CheckCase {
@@ -136,8 +136,8 @@
 }
 
 fn other_cases() -> Vec<CheckCase> {
-    let announced = || MatrixEvent::LeavingSaid(agent(1));
-    let work = |number| MatrixEvent::WorkTaken(agent(number));
+    let announced = || MatrixEvent::LeavingAnnounced(agent(1));
+    let work = |number| MatrixEvent::WorkAccepted(agent(number));
     vec![
         CheckCase {
             guarantee: "new_work_after_leaving",
@@ -165,7 +165,7 @@
 fn history(events: &[MatrixEvent]) -> MatrixHistory {
     let mut history = MatrixHistory::default();
     for (second, event) in (0..).zip(events) {
-        history.note(Moment::from_millis(second * 1_000), event.clone());
+        history.record(Moment::from_millis(second * 1_000), event.clone());
     }
     history
 }
@@ -216,7 +216,7 @@
 #[test]
 fn each_check_of_this_package_has_a_case() {
     let cases: Vec<CheckCase> = flow_cases().into_iter().chain(other_cases()).collect();
-    for (guarantee, _) in PROMISES {
+    for (guarantee, _) in GUARANTEES {
         let covered = cases.iter().any(|case| case.guarantee == guarantee);
         assert!(covered || guarantee == "ran_again", "{guarantee}");
     }
--- a/tests/matrix/tests/all/configuration.rs
+++ b/tests/matrix/tests/all/configuration.rs
@@ -1,7 +1,7 @@
 //! Configurations under every fault at every step.
 
 use lovagelatch_matrix::MatrixReport;
-use lovagelatch_matrix::configuration::{CONFIG_FAULTS, CONFIG_STEPS, play_configuration};
+use lovagelatch_matrix::configuration::{CONFIG_FAULTS, CONFIG_STEPS, run_configuration};
 
 const SEEDS: u64 = 2;
 const PAIRS: u64 = 50;
@@ -12,14 +12,14 @@
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("configuration, one fault");
-    report.play_singles(&CONFIG_FAULTS, &CONFIG_STEPS, 0..SEEDS, play_configuration);
-    report.assert_sound();
+    report.run_single_faults(&CONFIG_FAULTS, &CONFIG_STEPS, 0..SEEDS, run_configuration);
+    report.assert_no_violations();
 }
 
 // Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("configuration, two faults");
-    report.play_pairs(&CONFIG_FAULTS, &CONFIG_STEPS, PAIRS, play_configuration);
-    report.assert_sound();
+    report.run_fault_pairs(&CONFIG_FAULTS, &CONFIG_STEPS, PAIRS, run_configuration);
+    report.assert_no_violations();
 }
--- a/tests/matrix/tests/all/filings.rs
+++ b/tests/matrix/tests/all/filings.rs
@@ -13,20 +13,20 @@
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("filing, one fault");
-    report.play_singles(&FILING_FAULTS, &REQUEST_STEPS, 0..SEEDS, |plan| {
+    report.run_single_faults(&FILING_FAULTS, &REQUEST_STEPS, 0..SEEDS, |plan| {
         run_filings(plan, RequestMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 // Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("filing, two faults");
-    report.play_pairs(&FILING_FAULTS, &REQUEST_STEPS, PAIRS, |plan| {
+    report.run_fault_pairs(&FILING_FAULTS, &REQUEST_STEPS, PAIRS, |plan| {
         run_filings(plan, RequestMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 struct DisabledMechanism {
@@ -85,9 +85,9 @@
 fn each_disabled_mechanism_is_detected() {
     for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("filing, one mechanism off");
-        report.play_pairs(&FILING_FAULTS, &REQUEST_STEPS, DISABLED_PAIRS, |plan| {
+        report.run_fault_pairs(&FILING_FAULTS, &REQUEST_STEPS, DISABLED_PAIRS, |plan| {
             run_filings(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.guarantee);
+        report.assert_violated(case.mechanism, case.guarantee);
     }
 }
--- a/tests/matrix/tests/all/flows.rs
+++ b/tests/matrix/tests/all/flows.rs
@@ -12,20 +12,20 @@
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("flow, one fault");
-    report.play_singles(&FLOW_FAULTS, &FLOW_STEPS, 0..SEEDS, |plan| {
+    report.run_single_faults(&FLOW_FAULTS, &FLOW_STEPS, 0..SEEDS, |plan| {
         run_flows(plan, FlowMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 // Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("flow, two faults");
-    report.play_pairs(&FLOW_FAULTS, &FLOW_STEPS, PAIRS, |plan| {
+    report.run_fault_pairs(&FLOW_FAULTS, &FLOW_STEPS, PAIRS, |plan| {
         run_flows(plan, FlowMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 struct DisabledMechanism {
@@ -80,9 +80,9 @@
 fn each_disabled_mechanism_is_detected() {
     for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("flow, one mechanism off");
-        report.play_pairs(&FLOW_FAULTS, &FLOW_STEPS, DISABLED_PAIRS, |plan| {
+        report.run_fault_pairs(&FLOW_FAULTS, &FLOW_STEPS, DISABLED_PAIRS, |plan| {
             run_flows(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.guarantee);
+        report.assert_violated(case.mechanism, case.guarantee);
     }
 }
--- a/tests/matrix/tests/all/leaving.rs
+++ b/tests/matrix/tests/all/leaving.rs
@@ -2,7 +2,7 @@
 
 use lovagelatch_matrix::MatrixReport;
 use lovagelatch_matrix::leaving::{
-    LEAVING_FAULTS, LEAVING_STEPS, LeavingFault, LeavingMechanisms, LeavingStep, play_leaving,
+    LEAVING_FAULTS, LEAVING_STEPS, LeavingFault, LeavingMechanisms, LeavingStep, run_leaving,
 };
 
 const SEEDS: u64 = 2;
@@ -15,20 +15,20 @@
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("leaving, one fault");
-    report.play_singles(&LEAVING_FAULTS, &LEAVING_STEPS, 0..SEEDS, |plan| {
-        play_leaving(plan, LeavingMechanisms::default())
+    report.run_single_faults(&LEAVING_FAULTS, &LEAVING_STEPS, 0..SEEDS, |plan| {
+        run_leaving(plan, LeavingMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 // Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("leaving, two faults");
-    report.play_pairs(&LEAVING_FAULTS, &LEAVING_STEPS, PAIRS, |plan| {
-        play_leaving(plan, LeavingMechanisms::default())
+    report.run_fault_pairs(&LEAVING_FAULTS, &LEAVING_STEPS, PAIRS, |plan| {
+        run_leaving(plan, LeavingMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 // Guards against checks that cannot fail: mechanisms are disabled while a balancer sleeps through
@@ -38,11 +38,11 @@
 fn each_disabled_mechanism_is_detected() {
     let on = LeavingMechanisms::default();
     let no_forwarding = LeavingMechanisms {
-        hand_on: false,
+        forward: false,
         ..on
     };
     let no_notice = LeavingMechanisms {
-        word: false,
+        announcement: false,
         ..no_forwarding
     };
     let no_gate = LeavingMechanisms { gate: false, ..on };
@@ -51,15 +51,18 @@
         ("forwarding and the first notice", no_notice),
         ("refusal of a leaving gate", no_gate),
     ];
-    let faults = [LeavingFault::BalancerSleeps, LeavingFault::ZoneUnheard];
+    let faults = [
+        LeavingFault::BalancerPaused,
+        LeavingFault::ZonePartitionedOneWay,
+    ];
     for (mechanism, mechanisms) in cases {
         let mut report = MatrixReport::new("leaving, one mechanism off");
-        report.play_singles(
+        report.run_single_faults(
             &faults,
-            &[LeavingStep::FirstWord],
+            &[LeavingStep::Announcement],
             0..DISABLED_SEEDS,
-            |plan| play_leaving(plan, mechanisms),
+            |plan| run_leaving(plan, mechanisms),
         );
-        report.assert_notices(mechanism, "new_work_after_leaving");
+        report.assert_violated(mechanism, "new_work_after_leaving");
     }
 }
