--- a/tests/matrix/tests/all/opaque.rs
+++ b/tests/matrix/tests/all/opaque.rs
@@ -2,7 +2,7 @@
 
 use lovagelatch_matrix::opaque::{
     OPAQUE_FAULTS, OPAQUE_STEPS, OpaqueFault, OpaqueFleet, OpaqueMechanisms, OpaqueStep,
-    play_opaque, play_opaque_fleet,
+    run_opaque, run_opaque_fleet,
 };
 use lovagelatch_matrix::{FaultPlan, MatrixReport, RunHistory};
 
@@ -17,10 +17,10 @@
 fn without_a_fault_every_request_is_served() {
     for seed in 0..20 {
         let plan = FaultPlan {
-            strikes: Vec::new(),
+            faults: Vec::new(),
             seed,
         };
-        let (served, failed) = play_opaque(&plan, OpaqueMechanisms::default()).outcomes();
+        let (served, failed) = run_opaque(&plan, OpaqueMechanisms::default()).outcomes();
         assert_eq!(failed, 0, "seed {seed}");
         assert!(served > 150, "seed {seed}: {served}");
     }
@@ -32,10 +32,10 @@
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("opaque flow, one fault");
-    report.play_singles(&OPAQUE_FAULTS, &OPAQUE_STEPS, 0..SEEDS, |plan| {
-        play_opaque(plan, OpaqueMechanisms::default())
+    report.run_single_faults(&OPAQUE_FAULTS, &OPAQUE_STEPS, 0..SEEDS, |plan| {
+        run_opaque(plan, OpaqueMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 // Guards against the same failures under two faults, or under one fault twice.
@@ -46,10 +46,10 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(PAIRS);
     let mut report = MatrixReport::new("opaque flow, two faults");
-    report.play_pairs(&OPAQUE_FAULTS, &OPAQUE_STEPS, pairs, |plan| {
-        play_opaque(plan, OpaqueMechanisms::default())
+    report.run_fault_pairs(&OPAQUE_FAULTS, &OPAQUE_STEPS, pairs, |plan| {
+        run_opaque(plan, OpaqueMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 struct FleetCase {
@@ -93,10 +93,10 @@
     ];
     for case in cases {
         let mut report = MatrixReport::new("opaque flow, a larger fleet");
-        report.play_singles(case.faults, case.steps, 0..1, |plan| {
-            play_opaque_fleet(plan, OpaqueMechanisms::default(), case.fleet)
+        report.run_single_faults(case.faults, case.steps, 0..1, |plan| {
+            run_opaque_fleet(plan, OpaqueMechanisms::default(), case.fleet)
         });
-        report.assert_sound();
+        report.assert_no_violations();
     }
 }
 
@@ -116,7 +116,7 @@
             cause: "a search among the new service of a moved route was treated as proof",
             strikes: [
                 (Fault::RouteMoved, Step::Response),
-                (Fault::BalancerStops, Step::Request),
+                (Fault::BalancerStopped, Step::Request),
             ],
             seed: 36,
         },
@@ -131,7 +131,7 @@
         RegressionPlan {
             cause: "a restarted balancer did not know of the store failure",
             strikes: [
-                (Fault::EntriesLapse, Step::LaterRequest),
+                (Fault::EntriesExpired, Step::LaterRequest),
                 (Fault::RouterRehashed, Step::LaterRequest),
             ],
             seed: 3_553,
@@ -139,7 +139,7 @@
         RegressionPlan {
             cause: "a late duplicate of a first packet was refused because its route was dropped",
             strikes: [
-                (Fault::RouteDropped, Step::Answer),
+                (Fault::RouteRemoved, Step::OpeningReply),
                 (Fault::Delay, Step::Opening),
             ],
             seed: 1_359,
@@ -147,18 +147,18 @@
         RegressionPlan {
             cause: "a flow offered twice was assumed to be at the target that had responded",
             strikes: [
-                (Fault::TargetLeaves, Step::Opening),
-                (Fault::Cut, Step::Answer),
+                (Fault::TargetLeaving, Step::Opening),
+                (Fault::LinkCut, Step::OpeningReply),
             ],
             seed: 1_433,
         },
     ];
     for case in cases {
         let plan = FaultPlan {
-            strikes: case.strikes.to_vec(),
+            faults: case.strikes.to_vec(),
             seed: case.seed,
         };
-        let violations = play_opaque(&plan, OpaqueMechanisms::default()).violations();
+        let violations = run_opaque(&plan, OpaqueMechanisms::default()).violations();
         assert!(violations.is_empty(), "{}: {violations:?}", case.cause);
     }
 }
@@ -189,7 +189,10 @@
         },
         DisabledMechanism {
             mechanism: "offering packets of unknown flows",
-            mechanisms: OpaqueMechanisms { trial: false, ..on },
+            mechanisms: OpaqueMechanisms {
+                trial_delivery: false,
+                ..on
+            },
             faults: &[Fault::AllProcessesKilled, Fault::AgentKilled],
             pairs: DISABLED_PAIRS,
             guarantee: "open_flow_reset",
@@ -207,7 +210,7 @@
         DisabledMechanism {
             mechanism: "acknowledgement number check",
             mechanisms: OpaqueMechanisms {
-                number_check: false,
+                acknowledgement_check: false,
                 ..on
             },
             faults: &[Fault::Reorder, Fault::AgentPaused, Fault::Duplicate],
@@ -220,7 +223,7 @@
                 leaving: false,
                 ..on
             },
-            faults: &[Fault::TargetLeaves],
+            faults: &[Fault::TargetLeaving],
             pairs: DISABLED_PAIRS,
             guarantee: "new_flow_after_leaving",
         },
@@ -230,17 +233,17 @@
                 resets: false,
                 ..on
             },
-            faults: &[Fault::PowerLost, Fault::TargetRestarted],
+            faults: &[Fault::PowerLost, Fault::MachinePowerLost],
             pairs: DISABLED_PAIRS,
             guarantee: "not_recovered",
         },
         DisabledMechanism {
             mechanism: "doubt during store failures",
             mechanisms: OpaqueMechanisms {
-                lapses: false,
+                store_doubt: false,
                 ..on
             },
-            faults: &[Fault::EntriesLapse, Fault::AllBalancersKilled],
+            faults: &[Fault::EntriesExpired, Fault::AllBalancersKilled],
             pairs: DISABLED_PAIRS,
             guarantee: "open_flow_reset",
         },
@@ -263,9 +266,9 @@
 fn each_disabled_mechanism_is_detected() {
     for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("opaque flow, one mechanism off");
-        report.play_pairs(case.faults, &OPAQUE_STEPS, case.pairs, |plan| {
-            play_opaque(plan, case.mechanisms)
+        report.run_fault_pairs(case.faults, &OPAQUE_STEPS, case.pairs, |plan| {
+            run_opaque(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.guarantee);
+        report.assert_violated(case.mechanism, case.guarantee);
     }
 }
--- a/tests/matrix/tests/all/requests.rs
+++ b/tests/matrix/tests/all/requests.rs
@@ -15,20 +15,20 @@
 #[test]
 fn every_fault_at_every_step() {
     let mut report = MatrixReport::new("request, one fault");
-    report.play_singles(&REQUEST_FAULTS, &REQUEST_STEPS, 0..SEEDS, |plan| {
+    report.run_single_faults(&REQUEST_FAULTS, &REQUEST_STEPS, 0..SEEDS, |plan| {
         run_requests(plan, RequestMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 // Guards against the same failures under two faults, or under one fault twice.
 #[test]
 fn two_faults_at_once() {
     let mut report = MatrixReport::new("request, two faults");
-    report.play_pairs(&REQUEST_FAULTS, &REQUEST_STEPS, PAIRS, |plan| {
+    report.run_fault_pairs(&REQUEST_FAULTS, &REQUEST_STEPS, PAIRS, |plan| {
         run_requests(plan, RequestMechanisms::default())
     });
-    report.assert_sound();
+    report.assert_no_violations();
 }
 
 struct DisabledMechanism {
@@ -96,9 +96,9 @@
 fn each_disabled_mechanism_is_detected() {
     for case in disabled_mechanisms() {
         let mut report = MatrixReport::new("request, one mechanism off");
-        report.play_singles(&REQUEST_FAULTS, &REQUEST_STEPS, 0..DISABLED_SEEDS, |plan| {
+        report.run_single_faults(&REQUEST_FAULTS, &REQUEST_STEPS, 0..DISABLED_SEEDS, |plan| {
             run_requests(plan, case.mechanisms)
         });
-        report.assert_notices(case.mechanism, case.guarantee);
+        report.assert_violated(case.mechanism, case.guarantee);
     }
 }
