--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,1 +1,1 @@
-//! Whole-process tests: they start the real binaries through the launcher. See `tests/all`.
+//! Process tests, which start the real binaries through the launcher. See `tests/all`.
--- a/tests/tests/all/launcher.rs
+++ b/tests/tests/all/launcher.rs
@@ -7,7 +7,7 @@
 
 use lovagelatch_history::RunReport;
 
-/// Everything that a deployment runs.
+/// The packages of all programs that a deployment runs.
 const PACKAGES: [&str; 9] = [
     "lovagelatch",
     "lovagelatch-local",
@@ -20,26 +20,26 @@
     "lovagelatch-soak",
 ];
 
-/// Longest that a run may take from its first process to its verdict.
-const RUN_LIMIT: Duration = Duration::from_secs(180);
+/// Timeout of a run, from its first process to its verdict.
+const RUN_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// Longest that a process may take to end once it was asked to.
-pub(crate) const END_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for a process to end after it is asked to stop.
+pub(crate) const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait for a deployment to be up.
-pub(crate) const UP_LIMIT: Duration = Duration::from_secs(90);
+/// Timeout for a deployment to start.
+pub(crate) const STARTUP_TIMEOUT: Duration = Duration::from_secs(90);
 
-const POLL_PERIOD: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Modest load, also for a debug build on a busy machine.
-const MODEST_LOAD: [&str; 4] = ["--rate", "60", "--feeds", "12"];
+/// Load that a debug build on a busy machine can sustain.
+const LIGHT_LOAD: [&str; 4] = ["--rate", "60", "--feeds", "12"];
 
-/// The path of the launcher, built with all that it starts, once for all tests.
+/// Returns the path of the launcher. The first call builds it and all programs that it starts.
 fn launcher_path() -> &'static Path {
     static PATH: OnceLock<PathBuf> = OnceLock::new();
     PATH.get_or_init(|| {
-        let own = std::env::current_exe().expect("the path of this test");
-        let directory = own
+        let test = std::env::current_exe().expect("the path of this test");
+        let directory = test
             .ancestors()
             .nth(2)
             .expect("tests run from <profile>/deps");
@@ -48,12 +48,12 @@
     })
 }
 
-/// A program that was built beside the launcher.
+/// Returns the path of a program that was built with the launcher.
 pub(crate) fn program_path(name: &str) -> PathBuf {
     launcher_path().with_file_name(name)
 }
 
-/// Runs the operators' command, built beside the launcher.
+/// Runs the operators' command, `lovagelatch`.
 pub(crate) fn run_command(arguments: &[&str]) -> std::process::Output {
     let output = Command::new(program_path("lovagelatch"))
         .args(arguments)
@@ -61,7 +61,7 @@
     output.expect("the command starts")
 }
 
-/// Builds into the directory and profile that this test was built in.
+/// Builds all programs with the profile and into the target directory of this test.
 fn build(directory: &Path) {
     let cargo = std::env::var_os("CARGO").expect("tests run under cargo");
     let mut command = Command::new(cargo);
@@ -69,39 +69,37 @@
     if directory.ends_with("release") {
         command.arg("--release");
     }
-    let target = directory
-        .parent()
-        .expect("profiles stand in a target directory");
+    let target = directory.parent().expect("a profile in a target directory");
     command.arg("--target-dir").arg(target);
     for package in PACKAGES {
         command.args(["-p", package]);
     }
     let status = command.status().expect("cargo runs");
-    assert!(status.success(), "the binaries do not build");
+    assert!(status.success(), "building the binaries failed");
 }
 
-/// One run of the launcher. Only one exists at a time: each starts some thirty processes.
+/// One run of the launcher. Only one exists at a time because each starts about 30 processes.
 pub(crate) struct LauncherRun {
     child: Child,
     directory: PathBuf,
-    _alone: MutexGuard<'static, ()>,
+    _guard: MutexGuard<'static, ()>,
 }
 
-/// How a run ended.
+/// The result of a run.
 #[derive(Debug)]
-pub(crate) struct RunEnd {
+pub(crate) struct RunOutcome {
     pub(crate) status: ExitStatus,
     pub(crate) stdout: String,
     pub(crate) stderr: String,
-    /// What `--report` wrote, if the run came so far.
+    /// The file that `--report` wrote, if the run got that far.
     pub(crate) report: Option<RunReport>,
 }
 
 impl LauncherRun {
-    /// Starts the launcher with these arguments and modest load.
+    /// Starts the launcher with the given arguments and light load.
     pub(crate) fn start(arguments: &[&str]) -> Self {
-        static ALONE: Mutex<()> = Mutex::new(());
-        let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+        static RUNNING: Mutex<()> = Mutex::new(());
+        let guard = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let path = launcher_path();
         let directory = new_directory();
         let output = |name: &str| {
@@ -110,7 +108,7 @@
         };
         let child = Command::new(path)
             .args(arguments)
-            .args(MODEST_LOAD)
+            .args(LIGHT_LOAD)
             .arg("--no-build")
             .arg("--logs")
             .arg(directory.join("logs"))
@@ -125,47 +123,48 @@
         Self {
             child,
             directory,
-            _alone: alone,
+            _guard: guard,
         }
     }
 
-    /// Runs to the end.
-    pub(crate) fn finish(&mut self) -> RunEnd {
-        let status = self.wait(RUN_LIMIT);
-        self.end(status)
+    /// Waits until the run ends by itself.
+    pub(crate) fn finish(&mut self) -> RunOutcome {
+        let status = self.wait(RUN_TIMEOUT);
+        self.outcome(status)
     }
 
-    /// Waits until a held deployment is up; returns the line that says where it is.
+    /// Waits until a held deployment has started, and returns the line with its addresses.
     pub(crate) fn wait_until_up(&self) -> serde_json::Value {
-        let deadline = Instant::now() + UP_LIMIT;
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
         while Instant::now() < deadline {
             if let Ok(line) = serde_json::from_str(&self.stdout()) {
                 return line;
             }
-            std::thread::sleep(POLL_PERIOD);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        panic!("not up in time: {}", self.stdout());
+        panic!("the deployment did not start in time: {}", self.stdout());
     }
 
-    /// Sends the launcher a signal and waits for its end.
-    pub(crate) fn stop(&mut self, signal: libc::c_int) -> RunEnd {
+    /// Sends a signal to the launcher and waits for its end.
+    pub(crate) fn stop(&mut self, signal: libc::c_int) -> RunOutcome {
         self.signal(signal);
-        let status = self.wait(END_LIMIT);
-        self.end(status)
+        let status = self.wait(STOP_TIMEOUT);
+        self.outcome(status)
     }
 
-    /// What it printed so far.
+    /// Returns the standard output so far.
     pub(crate) fn stdout(&self) -> String {
         self.read("stdout")
     }
 
-    /// The processes that the launcher started: they inherit this run's temporary directory.
+    /// Returns the command lines of the processes that the launcher started. They are recognized by
+    /// the temporary directory of this run, which they inherit.
     pub(crate) fn processes(&self) -> Vec<String> {
-        let own = self.child.id().to_string();
+        let launcher = self.child.id().to_string();
         let name = format!("TMPDIR={}", self.directory.display());
         let entries = std::fs::read_dir("/proc").expect("the list of processes");
         let ids = entries.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
-        ids.filter(|id| *id != own && id.bytes().all(|byte| byte.is_ascii_digit()))
+        ids.filter(|id| *id != launcher && id.bytes().all(|byte| byte.is_ascii_digit()))
             .filter(|id| {
                 let environment = std::fs::read(format!("/proc/{id}/environ")).unwrap_or_default();
                 let mut variables = environment.split(|&byte| byte == 0);
@@ -183,32 +182,32 @@
     }
 
     fn signal(&self, signal: libc::c_int) {
-        let pid = libc::pid_t::try_from(self.child.id()).expect("a process number");
-        // SAFETY: the child was not waited for yet, so its number is still its own.
+        let pid = libc::pid_t::try_from(self.child.id()).expect("a process id");
+        // SAFETY: the child has not been waited for, so its process id is still its own.
         unsafe {
             libc::kill(pid, signal);
         }
     }
 
-    /// Waits for the end, by force when it does not come: a test must not hang.
-    fn wait(&mut self, limit: Duration) -> ExitStatus {
-        let deadline = Instant::now() + limit;
+    /// Waits for the end of the launcher, and kills it after the timeout so that the test cannot hang.
+    fn wait(&mut self, timeout: Duration) -> ExitStatus {
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            if let Some(status) = self.child.try_wait().expect("the child is ours") {
+            if let Some(status) = self.child.try_wait().expect("the child is not yet reaped") {
                 return status;
             }
-            std::thread::sleep(POLL_PERIOD);
+            std::thread::sleep(POLL_INTERVAL);
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
         panic!("the launcher did not end in time: {}", self.read("stderr"));
     }
 
-    fn end(&self, status: ExitStatus) -> RunEnd {
+    fn outcome(&self, status: ExitStatus) -> RunOutcome {
         let left = self.processes();
-        assert!(left.is_empty(), "left behind: {left:#?}");
+        assert!(left.is_empty(), "processes left behind: {left:#?}");
         let report = self.read("report.json");
-        RunEnd {
+        RunOutcome {
             status,
             stdout: self.read("stdout"),
             stderr: self.read("stderr"),
@@ -237,7 +236,7 @@
     directory
 }
 
-/// Runs to the end and expects the promises to hold, whatever happened on the way.
+/// Runs to the end, asserts that all guarantees hold, and returns the report.
 pub(crate) fn run_and_check(arguments: &[&str]) -> RunReport {
     let mut run = LauncherRun::start(arguments);
     let end = run.finish();
@@ -245,7 +244,7 @@
         .report
         .clone()
         .unwrap_or_else(|| panic!("no report: {end:#?}"));
-    let promises = [
+    let violations = [
         report.ran_twice,
         report.not_run_but_ran,
         report.wrong_service,
@@ -253,7 +252,7 @@
         report.cut,
         report.new_work_after_leaving,
     ];
-    assert_eq!(promises, [0; 6], "{end:#?}");
+    assert_eq!(violations, [0; 6], "{end:#?}");
     assert!(report.done > 0, "{end:#?}");
     assert!(end.stdout.contains("flows opened"), "no table: {end:#?}");
     assert_eq!(end.status.code(), Some(0), "{end:#?}");
--- a/tests/tests/all/main.rs
+++ b/tests/tests/all/main.rs
@@ -1,8 +1,8 @@
-//! Whole deployments of real processes, started and judged by the launcher.
+//! Tests of whole deployments of real processes, which the launcher starts and checks.
 //!
-//! Each test runs a deployment at its users' sizes for a few seconds with modest load, one at
-//! a time, so that the verdict does not depend on how busy the machine is: nothing here looks
-//! at speed.
+//! Each test runs a full-size deployment for a few seconds under light load, and only one runs at a
+//! time, so that the result does not depend on the load of the machine. No test here measures
+//! performance.
 
 mod certificates;
 mod faults;
--- a/tests/tests/all/operator.rs
+++ b/tests/tests/all/operator.rs
@@ -1,4 +1,5 @@
-//! What an operator sees of a running deployment, by the real command and a browser's requests.
+//! The operator's view of a running deployment, through the real command and HTTP requests as a
+//! browser sends them.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -8,32 +9,33 @@
 
 use crate::launcher::{LauncherRun, run_command};
 
-/// Instances of Desai's deployment: three balancers and ten agents.
+/// Instances of the deployment `desai`: 3 balancers and 10 agents.
 const INSTANCES: usize = 13;
 
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
-    let output = run_command(arguments);
-    let said = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
-    (output.status.code(), said.into_owned())
+    let result = run_command(arguments);
+    let output = String::from_utf8_lossy(&result.stdout) + String::from_utf8_lossy(&result.stderr);
+    (result.status.code(), output.into_owned())
 }
 
-/// One HTTP exchange as a browser would make it; the answer with its head.
+/// Sends an HTTP request and returns the response with its head.
 fn exchange(address: &str, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("the operations address listens");
-    let limit = Some(Duration::from_secs(10));
-    stream.set_read_timeout(limit).expect("a limit");
+    let timeout = Some(Duration::from_secs(10));
+    stream.set_read_timeout(timeout).expect("a read timeout");
     stream
         .write_all(request.as_bytes())
-        .expect("the request is taken");
-    let mut answer = String::new();
+        .expect("the request is sent");
+    let mut response = String::new();
     stream
-        .read_to_string(&mut answer)
-        .expect("an answer to its end");
-    answer
+        .read_to_string(&mut response)
+        .expect("a complete response");
+    response
 }
 
-/// The operations address of an instance of this binary, from `status --json`.
-fn instance_of(status: &Value, binary: &str) -> String {
+/// Returns the operations address of the first instance of a binary in the output of
+/// `status --json`.
+fn instance_address(status: &Value, binary: &str) -> String {
     let instances = status["instances"].as_array().expect("a list of instances");
     let found = instances
         .iter()
@@ -44,18 +46,18 @@
         .to_owned()
 }
 
-/// Whether the agent comes to know its peers' gates, which their heartbeats tell each second.
+/// Whether the agent learns its peers' gates within 10 s. Their heartbeats report them every second.
 fn explains_peers(agent: &str) -> bool {
     (0..20).any(|_| {
         std::thread::sleep(Duration::from_millis(500));
-        let (code, said) = run(&["explain", "request", "--instance", agent]);
-        assert_eq!(code, Some(0), "{said}");
-        said.lines().count() >= 4
+        let (code, output) = run(&["explain", "request", "--instance", agent]);
+        assert_eq!(code, Some(0), "{output}");
+        output.lines().count() >= 4
     })
 }
 
 #[test]
-fn an_operator_sees_the_fleet_and_why_work_goes_where_it_goes() {
+fn an_operator_can_inspect_the_fleet_and_explain_placement() {
     let mut held = LauncherRun::start(&["desai", "--hold"]);
     let line = held.wait_until_up();
     let platform = line["platform"].as_str().expect("the platform's address");
@@ -63,18 +65,18 @@
         .as_str()
         .expect("a service address");
 
-    let (code, said) = run(&["status", "--platform", platform]);
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.contains("13 asked, 0 lag, 0 silent"), "{said}");
-    let (_, said) = run(&["status", "--json", "--platform", platform]);
-    let status: Value = serde_json::from_str(&said).expect("JSON");
+    let (code, output) = run(&["status", "--platform", platform]);
+    assert_eq!(code, Some(0), "{output}");
+    assert!(output.contains("13 asked, 0 lag, 0 silent"), "{output}");
+    let (_, output) = run(&["status", "--json", "--platform", platform]);
+    let status: Value = serde_json::from_str(&output).expect("JSON");
     assert_eq!(
         status["instances"].as_array().map(Vec::len),
         Some(INSTANCES)
     );
 
-    let balancer = instance_of(&status, "lovagelatch-balancer");
-    let agent = instance_of(&status, "lovagelatch-agent");
+    let balancer = instance_address(&status, "lovagelatch-balancer");
+    let agent = instance_address(&status, "lovagelatch-agent");
     let mut flow = vec![
         "explain",
         "flow",
@@ -84,13 +86,16 @@
         service,
     ];
     flow.extend(["--flow-key", "0011223344556677"]);
-    let (code, said) = run(&flow);
-    assert_eq!(code, Some(0), "{said}");
+    let (code, output) = run(&flow);
+    assert_eq!(code, Some(0), "{output}");
     assert!(
-        said.contains("rendezvous hashing over live targets"),
-        "{said}"
+        output.contains("rendezvous hashing over live targets"),
+        "{output}"
+    );
+    assert!(
+        explains_peers(&agent),
+        "the gates of the peers are not explained"
     );
-    assert!(explains_peers(&agent), "peers' gates are not explained");
 
     let page = exchange(&balancer, "GET / HTTP/1.0\r\n\r\n");
     for part in [
--- a/tests/tests/all/quiet.rs
+++ b/tests/tests/all/quiet.rs
@@ -1,8 +1,8 @@
-//! Runs in which nothing goes wrong.
+//! Runs without faults.
 
 use crate::launcher::run_and_check;
 
-fn check_quiet(deployment: &str) {
+fn check_without_faults(deployment: &str) {
     let report = run_and_check(&[deployment, "--seconds", "4"]);
     assert_eq!(report.flows_broken, 0, "{report:#?}");
     assert_eq!(report.unknown, 0, "{report:#?}");
@@ -13,10 +13,10 @@
 
 #[test]
 fn indus_keeps_every_promise() {
-    check_quiet("indus");
+    check_without_faults("indus");
 }
 
 #[test]
 fn desai_keeps_every_promise() {
-    check_quiet("desai");
+    check_without_faults("desai");
 }
--- a/tests/tests/all/soak.rs
+++ b/tests/tests/all/soak.rs
@@ -1,25 +1,25 @@
-//! Short runs of the fault soak over the real programs on opaque packets.
+//! Short runs of the fault soak, which injects faults into the real programs with opaque packets.
 
 use std::process::Command;
 
 use crate::launcher::program_path;
 
 struct SoakCase {
-    /// Draws the faults, so that every run plays the same plan.
+    /// Seed of the fault plan, so that every run injects the same faults.
     seed: &'static str,
-    /// Minutes for which faults strike.
+    /// Minutes during which faults are injected.
     minutes: &'static str,
-    /// Processes of the system.
+    /// Number of processes of the system.
     processes: &'static str,
-    /// Whether targets are reborn, and entries of other writers come.
+    /// Whether targets also crash and restart under the same name, and other writers add entries.
     further: bool,
-    /// Further arguments.
+    /// Additional arguments of the soak.
     arguments: &'static [&'static str],
 }
 
 impl SoakCase {
-    /// Plays the plan; every promise must be kept.
-    fn play(&self) {
+    /// Runs the plan and asserts that every guarantee holds.
+    fn run(&self) {
         let directory = format!("lovagelatch-soak-{}-{}", std::process::id(), self.seed);
         let keep = std::env::temp_dir().join(directory);
         let output = Command::new(program_path("lovagelatch-soak"))
@@ -31,22 +31,22 @@
             .arg(&keep)
             .output()
             .expect("the soak starts");
-        let said = String::from_utf8_lossy(&output.stdout);
-        let errors = String::from_utf8_lossy(&output.stderr);
+        let stdout = String::from_utf8_lossy(&output.stdout);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(
             output.status.success(),
-            "{said}{errors}logs in {}",
+            "{stdout}{stderr}logs in {}",
             keep.display()
         );
         let sound = format!("seed {}: sound", self.seed);
-        assert!(said.contains(&sound), "{said}");
-        // A sound run leaves an empty directory.
+        assert!(stdout.contains(&sound), "{stdout}");
+        // A run without violations leaves an empty directory.
         let _removed = std::fs::remove_dir(&keep);
     }
 }
 
-// Symptom: any promise of the users broken, or a process that ends by itself. Sequence: a plan of
-// faults drawn from a seed, one after the other and at once. Cause: whatever the findings name.
+/// Guards against any violated guarantee, and against a process that ends by itself, under a plan of
+/// single and simultaneous faults. The findings name the cause.
 #[test]
 fn a_short_soak_keeps_every_promise() {
     let case = SoakCase {
@@ -56,13 +56,12 @@
         further: false,
         arguments: &[],
     };
-    case.play();
+    case.run();
 }
 
-// Symptom: two open flows are silent for 2.5 s. Sequence: two balancers are stopped as planned and
-// start again; the list that they read has a garbage entry for the flows' target; the entry is
-// whole again a second later. Cause: a search that had found nobody was kept, and did not ask the
-// target that was listed since.
+/// Guards against open flows that get no response for 2.5 s because a search that found no holder was
+/// kept and did not query a target that was listed later. Two balancers restart as planned and read a
+/// list with a malformed entry for the flows' target, which is valid again one second later.
 #[test]
 fn a_target_that_is_listed_late_keeps_its_flows() {
     let case = SoakCase {
@@ -72,12 +71,12 @@
         further: false,
         arguments: &[],
     };
-    case.play();
+    case.run();
 }
 
-// Symptom: any promise broken. Sequence: among other faults targets crash and start again under their
-// names, with and without their agents, and entries of another writer come and stay. Cause: whatever
-// the findings name.
+/// Guards against any violated guarantee when, among other faults, targets crash and restart under the
+/// same name, with and without their agents, and entries of another writer appear and remain. The
+/// findings name the cause.
 #[test]
 fn reborn_targets_and_foreign_entries_break_no_promise() {
     let case = SoakCase {
@@ -87,14 +86,14 @@
         further: true,
         arguments: &[],
     };
-    case.play();
+    case.run();
 }
 
-// Symptom: new flows reach a target that has announced that it leaves. Sequence: its entry becomes unreadable;
-// it announces that it leaves; its entry is whole again, and says that it is ready. Cause: the stand-in
-// took the announcement back, which no target does.
+/// Guards against new flows that reach a target after it announced that it is leaving. The target
+/// makes the announcement while its entry is unreadable, and the restored entry said that it is ready:
+/// the stand-in withdrew the announcement, which no real target does.
 #[test]
-fn an_entry_that_is_whole_again_says_what_its_target_says() {
+fn a_restored_entry_has_the_state_of_its_target() {
     let case = SoakCase {
         seed: "303",
         minutes: "0.3",
@@ -102,13 +101,12 @@
         further: false,
         arguments: &[],
     };
-    case.play();
+    case.run();
 }
 
-// Symptom: a process ends by itself, without a line in its log, and is away until it is started again.
-// Sequence: its settings change, and every process is told by SIGHUP, some milliseconds after this one was
-// started. Cause: until the settings are watched, SIGHUP ends a process; that takes two to five
-// milliseconds from its start on a busy machine, more on a slow one.
+/// Guards against a process that ends without a log line when SIGHUP announces a change of settings a
+/// few milliseconds after its start, and that stays down until it is restarted. SIGHUP ends a process
+/// until it watches its settings, which takes 2 to 5 ms on a busy machine and longer on a slow one.
 #[test]
 fn a_process_that_is_starting_outlives_a_change_of_settings() {
     let case = SoakCase {
@@ -118,11 +116,11 @@
         further: true,
         arguments: &[],
     };
-    case.play();
+    case.run();
 }
 
-/// Guards against entries of dead targets that never expire, which lets balancers place flows at a target that
-/// leaves under another name.
+/// Guards against entries of dead targets that never expire, which let balancers place flows on a
+/// target that is leaving under another name.
 #[test]
 fn the_entry_of_each_dead_target_expires() {
     let case = SoakCase {
@@ -132,13 +130,13 @@
         further: true,
         arguments: &[],
     };
-    case.play();
+    case.run();
 }
 
-/// Guards against the end of a starting process by a change of settings, where its supervisor starts it with SIGHUP
-/// ignored.
+/// Guards against a starting process that ends because of a change of settings although its supervisor
+/// starts it with SIGHUP ignored.
 #[test]
-fn a_process_that_starts_with_the_hangup_ignored_outlives_a_change_of_settings() {
+fn a_process_that_starts_with_sighup_ignored_survives_a_change_of_settings() {
     let case = SoakCase {
         seed: "404",
         minutes: "0.3",
@@ -146,11 +144,11 @@
         further: true,
         arguments: &["--hangup-ignored"],
     };
-    case.play();
+    case.run();
 }
 
-/// Guards against the reset of open flows whose agents are away for longer than a silence that counts, at
-/// balancers that were not told that they stop.
+/// Guards against resets of open flows whose agents restart for longer than the silence timeout, by
+/// balancers that did not learn that the agents stop.
 #[test]
 fn a_long_planned_restart_resets_no_open_flow() {
     let cases = [
@@ -179,6 +177,6 @@
         },
     ];
     for case in cases {
-        case.play();
+        case.run();
     }
 }
--- a/tests/tests/all/starting.rs
+++ b/tests/tests/all/starting.rs
@@ -1,4 +1,4 @@
-//! Processes that are told of a change of their settings before they run.
+//! Changes of settings that are signalled while a process starts.
 
 use std::ffi::CString;
 use std::fs::OpenOptions;
@@ -11,36 +11,36 @@
 
 use crate::launcher::program_path;
 
-/// What every process of opaque packets is told. Ports that the system chooses.
+/// Settings of every process for opaque packets. The system chooses the ports.
 const COMMON: &str = "[process]\nname = a-1\nzone = hall-a\ntraffic = opaque\n\
     [network]\nframes = 127.0.0.1:0\npackets = 127.0.0.1:0\nready = 127.0.0.1:0\n\
     operations = 127.0.0.1:0\n";
 
-/// Longest wait for a line of a process.
-const LINE_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for a line in the log of a process.
+const LOG_LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct StartCase {
     program: &'static str,
-    /// The settings of its own section.
-    own: &'static str,
-    /// Its line once it runs.
-    runs: &'static str,
+    /// The program's own section of the settings.
+    section: &'static str,
+    /// The log line that says that the program runs.
+    running_line: &'static str,
 }
 
 const CASES: [StartCase; 2] = [
     StartCase {
         program: "lovagelatch-agent",
-        own: "[agent]\nservice = claims\nbackend = 127.0.0.1:9\noutbound = 127.0.0.1:0\n",
-        runs: "agent runs",
+        section: "[agent]\nservice = claims\nbackend = 127.0.0.1:9\noutbound = 127.0.0.1:0\n",
+        running_line: "agent runs",
     },
     StartCase {
         program: "lovagelatch-balancer",
-        own: "[balancer]\ngossip = 127.0.0.1:0\nstore = 127.0.0.1:9\n",
-        runs: "balancer runs",
+        section: "[balancer]\ngossip = 127.0.0.1:0\nstore = 127.0.0.1:9\n",
+        running_line: "balancer runs",
     },
 ];
 
-/// A process whose settings come through a pipe, so that it waits for them.
+/// A process that reads its settings from a pipe and therefore waits for them.
 struct StartingProcess {
     child: Child,
     directory: PathBuf,
@@ -66,7 +66,7 @@
         Self { child, directory }
     }
 
-    /// Waits until the process has written this; fails when it has ended.
+    /// Waits until the log contains a text, and fails if the process ends before.
     fn wait_for(&mut self, line: &str) {
         let start = Instant::now();
         loop {
@@ -76,7 +76,10 @@
             }
             let ended = self.child.try_wait().expect("a child");
             assert!(ended.is_none(), "ended by itself: {ended:?}; {log}");
-            assert!(start.elapsed() < LINE_LIMIT, "no line {line:?} in {log}");
+            assert!(
+                start.elapsed() < LOG_LINE_TIMEOUT,
+                "no line {line:?} in {log}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -84,60 +87,59 @@
 
 impl Drop for StartingProcess {
     fn drop(&mut self) {
-        // Ended already where the test fails.
+        // The process may already have ended if the test fails.
         let _killed = self.child.kill();
         let _status = self.child.wait();
         let _removed = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-fn hang_up(child: &Child) {
-    let number = libc::pid_t::try_from(child.id()).expect("a process number");
-    // SAFETY: the child has not been waited for, so the number is its own.
+fn send_sighup(child: &Child) {
+    let pid = libc::pid_t::try_from(child.id()).expect("a process id");
+    // SAFETY: the child has not been waited for, so the process id is still its own.
     unsafe {
-        libc::kill(number, libc::SIGHUP);
+        libc::kill(pid, libc::SIGHUP);
     }
 }
 
 fn make_pipe(path: &Path) {
     let name = CString::new(path.as_os_str().as_bytes()).expect("a path");
-    // SAFETY: the name is a string that ends in 0 and lives during the call.
-    let made = unsafe { libc::mkfifo(name.as_ptr(), 0o600) };
-    assert_eq!(made, 0, "{}", std::io::Error::last_os_error());
+    // SAFETY: the name is a NUL-terminated string that outlives the call.
+    let result = unsafe { libc::mkfifo(name.as_ptr(), 0o600) };
+    assert_eq!(result, 0, "{}", std::io::Error::last_os_error());
 }
 
-// Symptom: a process ends by itself, without a line in its log. Sequence: it is started; while it reads its
-// settings the operator changes them and says so by SIGHUP. Cause: the signal was taken from the time on
-// at which the settings were watched; before, it ended the process. And a change that came between reading
-// and watching was never told.
+/// Guards against a process that ends without a log line when the operator changes its settings and
+/// sends SIGHUP while it reads them. The process handled the signal only once it watched its settings;
+/// before, the signal ended it. A change between reading and watching was never noticed.
 #[test]
-fn a_change_of_settings_that_are_being_read_is_outlived_and_taken() {
+fn a_change_of_settings_that_are_being_read_is_survived_and_applied() {
     for case in CASES {
         let mut process = StartingProcess::start(&case);
-        // Opens as soon as the process reads.
+        // Blocks until the process reads its settings.
         let mut pipe = OpenOptions::new()
             .write(true)
             .open(process.directory.join("pipe"))
             .expect("the pipe opens");
-        let text = format!("{COMMON}{}", case.own);
+        let text = format!("{COMMON}{}", case.section);
         let changed = process.directory.join("changed.ini");
         std::fs::write(&changed, format!("{text}; changed\n")).expect("a file");
         std::fs::rename(&changed, process.directory.join("settings.ini")).expect("renamed");
-        hang_up(&process.child);
+        send_sighup(&process.child);
         pipe.write_all(text.as_bytes()).expect("settings written");
         drop(pipe);
-        process.wait_for(case.runs);
+        process.wait_for(case.running_line);
         process.wait_for("settings read again");
     }
 }
 
-/// Starts of each program that are signalled before it can have run.
-const BIRTHS: u32 = 20;
+/// Number of starts of each program that are signalled before the program can run.
+const STARTS: u32 = 20;
 
-/// Guards against the end of a process that is told of a change while the operating system loads it, where whoever
-/// starts it does so with the signal ignored.
+/// Guards against a process that ends because SIGHUP arrives while the operating system loads the
+/// program, although its supervisor starts it with the signal ignored.
 #[test]
-fn a_process_that_inherits_an_ignored_hangup_outlives_it_from_its_birth() {
+fn a_process_that_inherits_an_ignored_sighup_survives_it_from_the_start() {
     for case in CASES {
         let directory = std::env::temp_dir().join(format!(
             "lovagelatch-birth-{}-{}",
@@ -146,12 +148,12 @@
         ));
         std::fs::create_dir_all(&directory).expect("a directory");
         let settings = directory.join("settings.ini");
-        std::fs::write(&settings, format!("{COMMON}{}", case.own)).expect("a file");
-        for birth in 0..BIRTHS {
+        std::fs::write(&settings, format!("{COMMON}{}", case.section)).expect("a file");
+        for start in 0..STARTS {
             let mut command = Command::new(program_path(case.program));
             command.arg("--settings").arg(&settings);
             command.stdin(Stdio::null()).stdout(Stdio::null());
-            // SAFETY: only a signal's disposition is set between fork and exec.
+            // SAFETY: the closure only sets the disposition of a signal between fork and exec.
             unsafe {
                 command.pre_exec(|| {
                     libc::signal(libc::SIGHUP, libc::SIG_IGN);
@@ -159,11 +161,11 @@
                 });
             }
             let mut child = command.spawn().expect("the process starts");
-            hang_up(&child);
+            send_sighup(&child);
             std::thread::sleep(Duration::from_millis(30));
             let ended = child.try_wait().expect("a child");
-            assert!(ended.is_none(), "{} {birth}: {ended:?}", case.program);
-            child.kill().expect("it runs");
+            assert!(ended.is_none(), "{} {start}: {ended:?}", case.program);
+            child.kill().expect("the process runs");
             child.wait().expect("a child");
         }
         std::fs::remove_dir_all(&directory).expect("removed");
--- a/tests/tests/all/stopping.rs
+++ b/tests/tests/all/stopping.rs
@@ -1,14 +1,13 @@
-//! Holding a deployment up, and ending it by a signal.
+//! Stopping the launcher with a signal.
 
 use std::time::{Duration, Instant};
 
-use crate::launcher::{LauncherRun, UP_LIMIT};
+use crate::launcher::{LauncherRun, STARTUP_TIMEOUT};
 
-/// Symptom: processes stay behind and keep their ports after Ctrl-C.
-/// Sequence: a deployment is up; the launcher gets a signal.
-/// Cause: the launcher ends without ending what it started.
+/// Guards against processes that keep running and hold their ports after Ctrl-C, because the launcher
+/// ends on a signal without stopping the processes that it started.
 #[test]
-fn a_held_deployment_says_where_it_is_and_ends_whole() {
+fn a_held_deployment_reports_its_addresses_and_stops_cleanly() {
     for signal in [libc::SIGINT, libc::SIGTERM] {
         let mut run = LauncherRun::start(&["desai", "--hold"]);
         let line = run.wait_until_up();
@@ -18,17 +17,17 @@
                 assert!(service[field].is_string(), "{field}: {line}");
             }
         }
-        assert!(!run.processes().is_empty(), "nothing runs");
+        assert!(!run.processes().is_empty(), "no process runs");
         let end = run.stop(signal);
         assert_eq!(end.status.code(), Some(0), "{end:#?}");
     }
 }
 
-/// Symptom and cause as above, but with callers and faults under way.
+/// Guards against processes left behind by a signal while callers run and a fault is in progress.
 #[test]
-fn an_interrupted_run_ends_whole() {
+fn an_interrupted_run_stops_cleanly() {
     let mut run = LauncherRun::start(&["indus", "--seconds", "60", "--fault", "pause-target@0"]);
-    let deadline = Instant::now() + UP_LIMIT;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while run.processes().len() < 3 && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(50));
     }
--- a/tests/tests/all/usage.rs
+++ b/tests/tests/all/usage.rs
@@ -1,38 +1,41 @@
-//! Command lines that the launcher refuses.
+//! Invalid command lines of the launcher.
 
 use crate::launcher::LauncherRun;
 
 struct UsageCase {
     arguments: &'static [&'static str],
-    said: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 #[test]
-fn bad_usage_ends_at_once_and_says_what_is_known() {
+fn invalid_usage_fails_at_once_and_lists_valid_values() {
     let cases = [
         UsageCase {
             arguments: &["indus", "--fault", "earthquake@1"],
-            said: &["earthquake", "replace-balancers", "lost-packets"],
+            expected: &["earthquake", "replace-balancers", "lost-packets"],
         },
         UsageCase {
             arguments: &["indus", "--fault", "kill-target"],
-            said: &["NAME@SECOND"],
+            expected: &["NAME@SECOND"],
         },
         UsageCase {
             arguments: &["lahore"],
-            said: &["lahore", "indus", "desai"],
+            expected: &["lahore", "indus", "desai"],
         },
         UsageCase {
             arguments: &["indus", "--seconds", "0"],
-            said: &["from 1 to 3600"],
+            expected: &["from 1 to 3600"],
         },
     ];
     for case in cases {
         let mut run = LauncherRun::start(case.arguments);
         let end = run.finish();
         assert_eq!(end.status.code(), Some(2), "{end:#?}");
-        for said in case.said {
-            assert!(end.stderr.contains(said), "{said} is missing: {end:#?}");
+        for expected in case.expected {
+            assert!(
+                end.stderr.contains(expected),
+                "{expected} is missing: {end:#?}"
+            );
         }
     }
 }
