--- a/tests/matrix/src/opaque/fault.rs
+++ b/tests/matrix/src/opaque/fault.rs
@@ -52,9 +52,9 @@
         };
         self.queue
             .push(duration, WorldEvent::Heal(fault, holder, balancer));
-        // The fault counts as a disruption until its end.
+        // The fault counts as a disturbance until its end.
         let end = self.now() + Duration::from_millis(duration);
-        self.last_disruption = self.last_disruption.max(end);
+        self.last_disturbance = self.last_disturbance.max(end);
         match fault {
             OpaqueFault::Drop => self.network.drop = 0.33,
             OpaqueFault::Duplicate => self.network.duplicate = 0.8,
@@ -423,7 +423,7 @@
         let now = self.now();
         self.store_failed_at = now;
         // Lost flows are not reset in this window: their targets may run without an entry.
-        self.last_disruption = now + DOUBT_WINDOW;
+        self.last_disturbance = now + DOUBT_WINDOW;
         for number in 0..self.balancers.len() {
             if self.mechanisms.store_doubt {
                 self.balancers[number].builder.record_store_failure(now);
--- a/tests/matrix/src/opaque/history.rs
+++ b/tests/matrix/src/opaque/history.rs
@@ -60,12 +60,12 @@
         reachable: bool,
     },
     /// The system reset a flow before it was open.
-    ResetUnopened {
+    ResetBeforeOpen {
         /// The flow.
         flow: FlowKey,
     },
-    /// A target, its agent or the path to it is disrupted at this time.
-    Disrupted {
+    /// A target, its agent or the path to it is disturbed at this time.
+    Disturbed {
         /// The target.
         target: TargetStart,
     },
@@ -157,7 +157,7 @@
                 OpaqueEvent::Delivered { .. }
                     | OpaqueEvent::Ran { .. }
                     | OpaqueEvent::Served { .. }
-                    | OpaqueEvent::Disrupted { .. }
+                    | OpaqueEvent::Disturbed { .. }
             )
         });
         let relevant: Vec<_> = relevant.collect();
@@ -187,7 +187,7 @@
 /// Counts open flows whose packets were delivered only to other targets for [`STRAY_WINDOW`].
 fn strayed(history: &OpaqueHistory) -> usize {
     let mut holders: HashMap<FlowKey, TargetStart> = HashMap::new();
-    let mut last_disrupted: HashMap<TargetStart, Moment> = HashMap::new();
+    let mut last_disturbed: HashMap<TargetStart, Moment> = HashMap::new();
     let mut ended: BTreeSet<TargetStart> = BTreeSet::new();
     let mut strays: HashMap<FlowKey, Vec<Moment>> = HashMap::new();
     let mut strayed = BTreeSet::new();
@@ -197,8 +197,8 @@
                 holders.insert(*flow, *target);
                 strays.remove(flow);
             }
-            OpaqueEvent::Disrupted { target } => {
-                last_disrupted.insert(*target, *now);
+            OpaqueEvent::Disturbed { target } => {
+                last_disturbed.insert(*target, *now);
             }
             OpaqueEvent::Ended { target } => {
                 ended.insert(*target);
@@ -211,10 +211,10 @@
                     strays.remove(flow);
                     continue;
                 }
-                let disrupted = last_disrupted.get(holder);
-                let is_undisrupted =
-                    disrupted.is_none_or(|since| now.since(*since) > STRAY_WINDOW * 2);
-                if ended.contains(holder) || !is_undisrupted {
+                let disturbed = last_disturbed.get(holder);
+                let is_undisturbed =
+                    disturbed.is_none_or(|since| now.since(*since) > STRAY_WINDOW * 2);
+                if ended.contains(holder) || !is_undisturbed {
                     continue;
                 }
                 let seen = strays.entry(*flow).or_default();
@@ -277,7 +277,7 @@
     let mut ran = 0;
     for (_, event) in &history.events {
         match event {
-            OpaqueEvent::ResetUnopened { flow } => {
+            OpaqueEvent::ResetBeforeOpen { flow } => {
                 refused.insert(*flow);
             }
             OpaqueEvent::Ran { flow, .. } => ran += usize::from(refused.contains(flow)),
--- a/tests/matrix/src/opaque/process.rs
+++ b/tests/matrix/src/opaque/process.rs
@@ -84,8 +84,8 @@
     pub(crate) keeps_name: bool,
     /// Whether its entry is readable.
     pub(crate) readable: bool,
-    /// When the machine or the path to it was last disrupted.
-    pub(crate) disrupted_at: Moment,
+    /// When the machine or the path to it was last disturbed.
+    pub(crate) disturbed_at: Moment,
 }
 
 impl Machine {
@@ -104,7 +104,7 @@
             name_number,
             keeps_name: false,
             readable: true,
-            disrupted_at: Moment::ZERO,
+            disturbed_at: Moment::ZERO,
         }
     }
 
--- a/tests/matrix/src/opaque/world.rs
+++ b/tests/matrix/src/opaque/world.rs
@@ -38,15 +38,15 @@
 /// Number of requests that a client sends.
 const REQUESTS_PER_CLIENT: u64 = 70;
 
-/// Time after the last disruption within which the system must have recovered. The slowest recovery
+/// Time after the last disturbance within which the system must have recovered. The slowest recovery
 /// is learning from an expired entry that the target of a filing is gone.
 const RECOVERY_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Jitter above which the network counts as disrupted.
-const DISRUPTIVE_JITTER_MS: u64 = 200;
+/// Jitter above which the network counts as disturbed.
+const DISTURBING_JITTER_MS: u64 = 200;
 
-/// Time after a disruption during which its consequences are not counted as violations.
-const DISRUPTION_GRACE: Duration = Duration::from_millis(1_500);
+/// Time after a disturbance during which its consequences are not counted as violations.
+const DISTURBANCE_GRACE: Duration = Duration::from_millis(1_500);
 
 const BALANCERS: u8 = 3;
 
@@ -117,8 +117,8 @@
     /// When the store last failed.
     pub(crate) store_failed_at: Moment,
     reached_steps: Vec<OpaqueStep>,
-    /// When a disruption last began or ended.
-    pub(crate) last_disruption: Moment,
+    /// When a disturbance last began or ended.
+    pub(crate) last_disturbance: Moment,
     /// Which balancers have a pending refresh of their view.
     views_due: Vec<bool>,
     /// When each request was started.
@@ -157,7 +157,7 @@
             last_view_fault: Moment::ZERO,
             store_failed_at: Moment::ZERO,
             reached_steps: Vec::new(),
-            last_disruption: Moment::ZERO,
+            last_disturbance: Moment::ZERO,
             views_due: Vec::new(),
             started_at: HashMap::new(),
             ticks: 0,
@@ -241,13 +241,13 @@
                 self.former.retain(|row| *row.name() != name);
                 self.publish();
             }
-            disruption => self.handle_disruption(disruption),
+            disturbance => self.handle_disturbance(disturbance),
         }
     }
 
-    /// Handles an event that begins or ends a disruption.
-    fn handle_disruption(&mut self, event: WorldEvent) {
-        self.last_disruption = self.last_disruption.max(self.now());
+    /// Handles an event that begins or ends a disturbance.
+    fn handle_disturbance(&mut self, event: WorldEvent) {
+        self.last_disturbance = self.last_disturbance.max(self.now());
         match event {
             WorldEvent::Heal(fault, machine, balancer) => self.heal(fault, machine, balancer),
             WorldEvent::StartBalancer(balancer) => self.start_balancer(balancer),
@@ -777,19 +777,19 @@
             self.execute_client_actions(client, actions);
         } else if self.clients[client].is_current(flow) {
             // Only a reset that the client accepts tells it that nothing ran.
-            self.record(OpaqueEvent::ResetUnopened { flow: *flow });
+            self.record(OpaqueEvent::ResetBeforeOpen { flow: *flow });
             let actions = self.clients[client].handle_reset(number);
             self.execute_client_actions(client, actions);
         }
     }
 
-    /// Whether a flow's target runs and has not been disrupted within [`DISRUPTION_GRACE`].
+    /// Whether a flow's target runs and has not been disturbed within [`DISTURBANCE_GRACE`].
     fn is_reachable(&self, flow: &FlowKey) -> bool {
         let holder = self.machines.iter().find(|one| one.target.holds(flow));
         holder.is_some_and(|machine| {
-            let is_undisrupted = self.now().since(machine.disrupted_at) > DISRUPTION_GRACE;
-            let is_undisrupted = is_undisrupted || machine.disrupted_at == Moment::ZERO;
-            machine.running && !machine.paused && is_undisrupted
+            let is_undisturbed = self.now().since(machine.disturbed_at) > DISTURBANCE_GRACE;
+            let is_undisturbed = is_undisturbed || machine.disturbed_at == Moment::ZERO;
+            machine.running && !machine.paused && is_undisturbed
         })
     }
 
@@ -808,7 +808,7 @@
                 ClientAction::Served(request) => self.record(OpaqueEvent::Served { request }),
                 ClientAction::Failed(request) => {
                     let started_at = self.started_at.get(&request).copied().unwrap_or_default();
-                    let recovered = self.last_disruption + RECOVERY_WINDOW;
+                    let recovered = self.last_disturbance + RECOVERY_WINDOW;
                     let after_recovery = started_at > recovered;
                     self.record(OpaqueEvent::Failed {
                         request,
@@ -833,7 +833,7 @@
         let faults: Vec<_> = self.plan.faults_at(step).collect();
         for fault in faults {
             self.record(OpaqueEvent::Fault(format!("{fault:?} before {step:?}")));
-            self.last_disruption = self.last_disruption.max(self.now());
+            self.last_disturbance = self.last_disturbance.max(self.now());
             self.inject(fault);
         }
     }
@@ -877,7 +877,7 @@
                 }
             }
         }
-        self.record_disruptions();
+        self.record_disturbances();
     }
 
     fn balancer_timers(&mut self, number: usize) {
@@ -933,11 +933,11 @@
         }
     }
 
-    /// Records the disrupted targets. All count as disrupted while the network loses or delays packets,
+    /// Records the disturbed targets. All count as disturbed while the network loses or delays packets,
     /// so that consequences of lost packets are not counted as violations.
-    fn record_disruptions(&mut self) {
+    fn record_disturbances(&mut self) {
         let now = self.now();
-        let lossy = self.network.drop > 0.0 || self.network.jitter_ms > DISRUPTIVE_JITTER_MS;
+        let lossy = self.network.drop > 0.0 || self.network.jitter_ms > DISTURBING_JITTER_MS;
         let cut: Vec<_> = self
             .balancers
             .iter()
@@ -947,18 +947,18 @@
             self.last_view_fault = now;
         }
         let partitioned_zones = self.partitioned_zones;
-        let mut disrupted = Vec::new();
+        let mut disturbed = Vec::new();
         for machine in &mut self.machines {
             let away = machine.paused || !machine.running || !machine.target.running;
             let cut_off =
                 partitioned_zones.is_some_and(|(a, b)| machine.zone == a || machine.zone == b);
             if away || lossy || cut_off || cut.contains(&machine.agent) {
-                machine.disrupted_at = now;
-                disrupted.push(machine.target.start);
+                machine.disturbed_at = now;
+                disturbed.push(machine.target.start);
             }
         }
-        for target in disrupted {
-            self.record(OpaqueEvent::Disrupted { target });
+        for target in disturbed {
+            self.record(OpaqueEvent::Disturbed { target });
         }
     }
 }
