--- a/crates/fleet/src/inbox.rs
+++ b/crates/fleet/src/inbox.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 
-/// Maximum number of queued datagrams; further ones are dropped.
+/// Maximum number of queued datagrams; further ones are dropped, as the network may drop any.
 const MAX_DATAGRAMS: usize = 1_024;
 
 /// Maximum number of exchange outcomes kept between two ticks.
--- a/crates/ledger/src/answer.rs
+++ b/crates/ledger/src/answer.rs
@@ -10,7 +10,7 @@
 pub struct AnswerHeader {
     /// The field name, in lower case.
     pub name: String,
-    /// The field value, as received from the backend server.
+    /// The field value; need not be UTF-8.
     pub value: Vec<u8>,
 }
 
@@ -19,7 +19,7 @@
 pub struct StoredAnswer {
     /// The HTTP status code.
     pub status: u16,
-    /// The header fields, in the order of their replay.
+    /// The header fields, replayed in this order.
     pub headers: Vec<AnswerHeader>,
     /// The complete body.
     pub body: Vec<u8>,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,4 +1,5 @@
-//! The at-most-once ledger, which decides whether an attempt of a ticketed request may run.
+//! The ledger of once-only requests, which decides whether an attempt of a ticketed request may
+//! run.
 //!
 //! A ticket names its home: the agent, and the incarnation of that agent, whose ledger alone
 //! decides. The ledger grants the right to run at most once per ticket, lets further attempts wait
--- a/crates/ledger/tests/all/main.rs
+++ b/crates/ledger/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the at-most-once ledger.
+//! Tests of the ledger of once-only requests.
 
 mod faults;
 mod handover;
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -53,7 +53,7 @@
         /// Faults of the text.
         faults: FaultList<TextFault>,
     },
-    /// Its revision is already known, but with different content.
+    /// It has the revision in force, but different content.
     #[error("revision {revision} is already known with different content")]
     Conflict {
         /// Revision of both configurations.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -219,9 +219,9 @@
 
     /// Resynchronizes after a pause of this process.
     ///
-    /// A process that was stopped resumes with an old view and expired timers, would consider every
-    /// peer silent and accuse it: a burst of suspicions from one accuser. The timers are therefore
-    /// restarted, and the tables are read and pulled again at once.
+    /// Without this, a process that was stopped would resume with an old view and expired timers,
+    /// consider every peer silent and accuse it: a burst of suspicions from one accuser. So the
+    /// timers are restarted, and the tables are read and pulled again at once.
     fn resync_after_pause(&mut self, gap: Duration, now: Moment) {
         self.neighbours.reset_timers(now);
         self.restart_join(now);
--- a/crates/membership/src/rumor.rs
+++ b/crates/membership/src/rumor.rs
@@ -33,7 +33,7 @@
 }
 
 impl RumorQueue {
-    /// Queues an event. Departures go first.
+    /// Queues an event. Departures go to the front, ahead of accusations and arrivals.
     pub(crate) fn push(&mut self, event: MemberEvent) {
         if self.queue.len() >= MAX_QUEUED_EVENTS {
             self.queue.pop_back();
--- a/crates/membership/tests/all/config.rs
+++ b/crates/membership/tests/all/config.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn highest_sound_revision_is_in_force() {
+fn highest_valid_revision_is_in_force() {
     use Content::{Invalid, Text};
     let cases = [
         OfferCase {
--- a/crates/membership/tests/all/faults.rs
+++ b/crates/membership/tests/all/faults.rs
@@ -246,9 +246,9 @@
     member.accept_instances(&list, now);
     rig.run(10 * SECOND);
     let texts = rig.platform.texts.clone();
-    let sound = rig
+    let valid = rig
         .nodes
         .iter()
         .filter(|node| is_valid_view(node.member.view(), &texts));
-    assert_eq!(sound.count(), rig.running() - 1);
+    assert_eq!(valid.count(), rig.running() - 1);
 }
--- a/crates/placement/src/agency_queue.rs
+++ b/crates/placement/src/agency_queue.rs
@@ -24,8 +24,8 @@
     pub(crate) backlogged_since: Moment,
     /// Requests of this agency that hold a slot.
     pub(crate) running: u32,
-    /// Slot time that the agency may still use in its turn, in seconds. Negative after requests
-    /// that took longer than their charge.
+    /// Slot time that the agency may still use in its turn, in seconds; negative while the agency
+    /// has used more than its share.
     deficit: f64,
 }
 
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    fn answers_recently(self, now: Moment) -> bool {
+    fn answered_recently(self, now: Moment) -> bool {
         self.answered
             .is_some_and(|answered| now.since(answered) < ANSWER_TTL)
     }
@@ -67,7 +67,7 @@
 ) -> Option<HealthStatus> {
     match status {
         HealthStatus::Ready => Some(status),
-        HealthStatus::Warming(_) => (!passive.answers_recently(now)).then_some(status),
+        HealthStatus::Warming(_) => (!passive.answered_recently(now)).then_some(status),
         HealthStatus::Draining => (previous == Some(HealthStatus::Draining)).then_some(status),
     }
 }
--- a/crates/placement/src/limit.rs
+++ b/crates/placement/src/limit.rs
@@ -18,7 +18,7 @@
 /// Consecutive losses, without an answer in between, that count as a refusal.
 const LOSSES_PER_SHED: u32 = 3;
 
-/// The number of requests that the gate runs at once.
+/// The limit of requests that the gate runs at once, at most its slots.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotLimit {
     slots: u16,
--- a/crates/placement/src/peer_stats.rs
+++ b/crates/placement/src/peer_stats.rs
@@ -35,7 +35,7 @@
 /// Backoff after a lost exchange, doubled for each further consecutive loss.
 const LOSS_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Limit of these doublings.
+/// Maximum number of these doublings.
 const MAX_LOSS_DOUBLINGS: u32 = 4;
 
 /// Statistics of own exchanges with one peer.
--- a/crates/placement/tests/all/placement.rs
+++ b/crates/placement/tests/all/placement.rs
@@ -152,11 +152,11 @@
     let mut placement = new_placement();
     for _ in 0..10 {
         for (number, response_time) in [(2, SERVICE * 20), (3, SERVICE)] {
-            let end = ExchangeOutcome::Answered {
+            let outcome = ExchangeOutcome::Answered {
                 response_time,
                 report: None,
             };
-            placement.record_outcome(agent(number), end, at(0));
+            placement.record_outcome(agent(number), outcome, at(0));
         }
     }
     let chosen = |placement: &mut PeerPlacement, now| {
@@ -178,11 +178,11 @@
 #[test]
 fn the_load_from_an_answer_overrides_a_heartbeat_just_after() {
     let mut placement = new_placement();
-    let end = ExchangeOutcome::Answered {
+    let outcome = ExchangeOutcome::Answered {
         response_time: SERVICE,
         report: Some(report(3, 12)),
     };
-    placement.record_outcome(agent(2), end, at(1_000));
+    placement.record_outcome(agent(2), outcome, at(1_000));
     let chosen = |placement: &mut PeerPlacement, received| {
         let peers = [peer(2, report(0, 0), at(received))];
         placement.choose(&report(3, 1), &peers, &[], TIME_LEFT, at(received))
@@ -213,11 +213,11 @@
         ];
         for (name, (answer, answered), (heartbeat, received), expected) in cases {
             let mut placement = new_placement();
-            let end = ExchangeOutcome::Answered {
+            let outcome = ExchangeOutcome::Answered {
                 response_time: SERVICE,
                 report: Some(answer),
             };
-            placement.record_outcome(agent(2), end, at(answered));
+            placement.record_outcome(agent(2), outcome, at(answered));
             let peers = [peer(2, heartbeat, at(received))];
             let choice = placement.choose(&report(3, 3), &peers, &[], TIME_LEFT, at(1_200));
             assert_eq!(choice, expected, "{name}, {:?}", closed.condition);
--- a/crates/routing/src/builder.rs
+++ b/crates/routing/src/builder.rs
@@ -69,7 +69,7 @@
         self
     }
 
-    /// Adds addresses of a service without its targets.
+    /// Adds addresses of a service whose targets this process does not need.
     #[must_use]
     pub(crate) fn with_addresses(
         mut self,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -26,7 +26,7 @@
 pub(crate) const NO_POSITION: u32 = u32::MAX;
 
 /// The maximum size of the bucket tables that one call of `refresh_buckets` builds, in bytes, unless
-/// a single one is larger. Each byte costs one scan, so a call takes some tens of milliseconds at
+/// a single one is larger. Each byte costs at most one scan, so a call takes some tens of milliseconds at
 /// most.
 const MAX_FILL_BYTES: usize = 128 * 1024;
 
--- a/crates/routing/tests/all/view.rs
+++ b/crates/routing/tests/all/view.rs
@@ -138,9 +138,9 @@
 
 /// Builds services with too many targets to be scanned for each flow.
 fn large_services(count: u16) -> RoutingTable {
-    let earlier = RoutingTable::default();
+    let previous = RoutingTable::default();
     let targets = u16::try_from(MAX_SCANNED_TARGETS).expect("a small bound") * 2 + 6;
-    let mut builder = TableBuilder::new(ConfigRevision(1), &earlier);
+    let mut builder = TableBuilder::new(ConfigRevision(1), &previous);
     for service in 0..count {
         let first = service * targets;
         let targets: Vec<RingTarget> = (first..first + targets)
