--- a/bins/agent/src/dispatch.rs
+++ b/bins/agent/src/dispatch.rs
@@ -178,8 +178,9 @@
         }
     }
 
-    /// Asks the backend server to cancel a request whose deadline has passed. The attempt counts
-    /// as not run only if the server confirms the cancellation.
+    /// Asks the backend server to cancel a request that has only its cancellation reserve left
+    /// before the deadline. The attempt counts as not run only if the server confirms the
+    /// cancellation within `limit`.
     ///
     /// A confirmation is valid only while the connection that carried the request is open. If the
     /// server started the request and crashed, a restarted server at the same address does not
--- a/bins/agent/src/headers.rs
+++ b/bins/agent/src/headers.rs
@@ -18,8 +18,8 @@
 /// The caller's own request ID; forwarded in both directions.
 pub(crate) const CALLER_REQUEST: HeaderName = HeaderName::from_static("lovagelatch-caller-request");
 
-/// Prefix of the fields that only the load balancer sets. They are stripped from requests, because
-/// callers could forge them.
+/// Prefix of the load balancer's fields. Except for [`CALLER_REQUEST`] they are not forwarded:
+/// otherwise a caller could forge fields that only agents and backend servers may set.
 const RESERVED_PREFIX: &str = "lovagelatch-";
 
 /// Hop-by-hop fields (RFC 9110, section 7.6.1).
--- a/bins/agent/src/maintenance.rs
+++ b/bins/agent/src/maintenance.rs
@@ -19,7 +19,7 @@
 const HEALTH_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Poll interval while a health status awaits confirmation by a second one. Peers and balancers
-/// must learn of a server that leaves within 3 s.
+/// must learn within 3 s that a server is leaving.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often the gate's report to peers is updated.
@@ -129,7 +129,8 @@
     }
 }
 
-/// Recomputes the subset of peers that this agent sends requests to.
+/// Recomputes the subset of peers that this agent sends requests to. The placement discards the
+/// state of all others, including those that are gone.
 pub(crate) async fn refresh_peers(agent: Arc<Agent>) {
     loop {
         let view = agent.fleet.view();
--- a/bins/agent/src/metrics.rs
+++ b/bins/agent/src/metrics.rs
@@ -54,9 +54,9 @@
 
     fn add_totals(&self, totals: &mut BTreeMap<String, u64>) {
         let short = self.name.trim_start_matches("lovagelatch.agent.");
-        for (word, total) in self.values.iter().zip(self.totals.iter()) {
+        for (value, total) in self.values.iter().zip(self.totals.iter()) {
             let count = total.load(Ordering::Relaxed);
-            totals.insert(format!("{short}.{word}"), count);
+            totals.insert(format!("{short}.{value}"), count);
         }
     }
 }
--- a/bins/agent/src/opaque/decision_log.rs
+++ b/bins/agent/src/opaque/decision_log.rs
@@ -8,8 +8,8 @@
 };
 use lovagelatch_telemetry::{DecisionKind, LineLimiter, Logger, info, warn};
 
-/// Limit for log lines about flows, for each kind of line. Agents currently see about 20 new flows
-/// a second.
+/// Limit for log lines about flows, for each kind of line. An agent of current users sees about 20
+/// new flows a second.
 const FLOW_LINES_PER_SECOND: u32 = 100;
 
 /// Limit for log lines about refused packets and about searches. Anybody can trigger these lines.
--- a/bins/balancer/src/lib.rs
+++ b/bins/balancer/src/lib.rs
@@ -6,8 +6,9 @@
 //!            control tasks <--membership--> other processes, platform
 //! ```
 //!
-//! The QUIC packet path is stateless: packet threads share no flow table and take no lock.
-//! The balancer for opaque packets, which does keep flow state, is the module `opaque`.
+//! The QUIC packet path keeps no flow state. Its threads share nothing that is written for each
+//! packet: no flow table and no lock. The balancer for opaque packets, which does keep flow state,
+//! is the module `opaque`.
 
 mod command;
 mod control;
--- a/bins/balancer/src/opaque/zones.rs
+++ b/bins/balancer/src/opaque/zones.rs
@@ -1,7 +1,7 @@
 //! Reports to operators which zones this balancer treats as evacuated.
 //!
-//! Without it, an operator who evacuates a zone could not see whether and since when the balancer
-//! has applied this, or at which store revision, and a misspelt zone name would go unnoticed.
+//! Without it, an operator who evacuates a zone could not see whether this balancer has applied the
+//! change, since when and from which store revision, and a misspelt zone name would look applied.
 
 use lovagelatch_catalog::{Catalog, EvacuatedZone};
 use lovagelatch_domain::Moment;
