--- a/bins/lovagelatch/src/main.rs
+++ b/bins/lovagelatch/src/main.rs
@@ -1,8 +1,8 @@
 //! The operators' command line tool: checks a service text, plans a change, queries instances
 //! for their status, explains a decision, and manages the key file.
 //!
-//! Exit codes: 0 for success; 1 for a negative result (a text has faults, a plan is risky, an
-//! instance lags); 2 if the command could not be executed.
+//! Exit codes, for scripts: 0 for success; 1 for a negative result (a text has faults, a plan is
+//! risky, an instance lags); 2 if the command could not be executed.
 
 mod check;
 mod client;
--- a/bins/lovagelatch/src/status.rs
+++ b/bins/lovagelatch/src/status.rs
@@ -235,7 +235,7 @@
             .sum::<u64>()
             .to_string()
     };
-    // Balancers have no counters of flows or requests.
+    // Balancers hold no flows and run no requests, so they lack these counters.
     let counter = |names: &[&str]| {
         let counts = names
             .iter()
--- a/crates/domain/tests/all/main.rs
+++ b/crates/domain/tests/all/main.rs
@@ -50,6 +50,7 @@
 
 // Guards against misrouted flows between two builds: the service id is part of the wire protocol,
 // so a release that changes its hash misroutes flows while old and new processes run side by side.
+// The values of the hash are written down nowhere else, so this test pins them.
 #[test]
 fn service_ids_are_stable() {
     let names = ["claims", "certificates", "reports", "maps"];
--- a/crates/keys/src/frame.rs
+++ b/crates/keys/src/frame.rs
@@ -1,4 +1,4 @@
-//! Authentication of frames between balancers and agents.
+//! Authentication of frames between the system's own processes.
 
 use std::hash::Hasher;
 
--- a/crates/network/src/path.rs
+++ b/crates/network/src/path.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Sends one datagram immediately, or drops it if the socket's buffer is full.
+    /// Sends one datagram immediately, or drops it if the socket's buffer is full, as the
+    /// network may drop it too.
     ///
     /// Bypasses the runtime, which returns `WouldBlock` for a socket that it has not polled yet.
     /// That looks like a full buffer, and the first datagram of a process would be lost.
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -7,7 +7,7 @@
 //! | `/explain/flow?address=IP:PORT&key=HEX` | [`FlowExplanation`] as JSON |
 //! | `/explain/request` | an agent's [`GateCost`](lovagelatch_placement::GateCost)s as JSON, the lowest first |
 //! | `/metrics` | all metrics as Prometheus text |
-//! | `/` | the status page: the fleet as this instance knows it, and a form to check a service text |
+//! | `/` | the status page for phones: the fleet as this instance knows it, and a form to check a service text |
 //!
 //! There is no central control instance: each instance reports what it knows and how old that
 //! knowledge is. The interface is read-only: the page shows what a text would change, but the
--- a/crates/operations/src/page.rs
+++ b/crates/operations/src/page.rs
@@ -1,4 +1,5 @@
-//! The status page: one HTML document without external assets, readable at a width of 360 pixels.
+//! The status page for phones: one HTML document without external assets, readable at a width of
+//! 360 pixels.
 //!
 //! All external text is escaped before it enters the page, because a service text or an
 //! instance's name may contain markup.
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -5,8 +5,8 @@
 //! name = agent-7
 //! zone = lahore-a
 //! control = 127.0.0.1:7101      ; UDP frames and TCP streams of the system's own processes
-//! operations = 127.0.0.1:8101   ; health, status, metrics, phone page
-//! operators = 127.0.0.0/8       ; optional: clients that may check a text on the phone page
+//! operations = 127.0.0.1:8101   ; health, status, metrics, status page
+//! operators = 127.0.0.0/8       ; optional: clients that may check a text on the status page
 //! threads = 2
 //!
 //! [platform]
@@ -78,9 +78,9 @@
     pub zone: ZoneName,
     /// Listen address for frames and streams of other balancers and agents.
     pub control: AgentAddress,
-    /// Listen address for health, status, metrics and the phone page.
+    /// Listen address for health, status, metrics and the status page for phones.
     pub operations: SocketAddrV4,
-    /// The clients that may check a text on the phone page; `None` allows only loopback.
+    /// The clients that may check a text on the status page; `None` allows only loopback.
     pub operators: Option<AddressBlock>,
     /// Number of worker threads. Invariant: at least 1.
     pub threads: usize,
--- a/standins/callers/src/arrivals.rs
+++ b/standins/callers/src/arrivals.rs
@@ -19,7 +19,7 @@
 use crate::pool::AddressPool;
 
 /// Limit of operations in progress. Further ones are skipped, so that a hanging system does not
-/// exhaust the memory of the test machine.
+/// exhaust the test machine.
 const MAX_PENDING_OPERATIONS: usize = 4_000;
 
 /// The address pools of each service, by service name.
--- a/standins/capacity/src/report.rs
+++ b/standins/capacity/src/report.rs
@@ -13,7 +13,7 @@
     /// The file could not be written.
     #[error("report: {0}")]
     File(#[from] io::Error),
-    /// The report could not be frame_bytes.
+    /// The report could not be encoded.
     #[error("report: {0}")]
     Json(#[from] serde_json::Error),
 }
--- a/standins/experiments/src/overload.rs
+++ b/standins/experiments/src/overload.rs
@@ -39,13 +39,13 @@
 
 fn jobs(seed: u64) -> Vec<(TestedPolicy, Scenario)> {
     let mut jobs = Vec::new();
-    let laws = [
+    let load_shapes = [
         (SizeDistribution::Lognormal, ArrivalPattern::Poisson),
         (SizeDistribution::Pareto, ArrivalPattern::Bursts),
     ];
     for deployment in &DEPLOYMENTS[..4] {
         for deadline in DEADLINES {
-            for (sizes, arrivals) in laws {
+            for (sizes, arrivals) in load_shapes {
                 for load in LOADS {
                     let scenario = Scenario::new(*deployment, load, LAG)
                         .with_deadline(deadline)
--- a/standins/history/src/fairness.rs
+++ b/standins/history/src/fairness.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns the lowest ratio of served work to fair share among the agencies of one service, at
-/// most 1.
+/// most 1. Agencies without demand have no fair share and do not count.
 pub(crate) fn worst_share(agencies: &BTreeMap<String, AgencyWork>) -> f64 {
     let served: f64 = agencies.values().map(|work| work.served).sum();
     let demands: Vec<f64> = agencies.values().map(|work| work.demanded).collect();
--- a/standins/platform/src/state.rs
+++ b/standins/platform/src/state.rs
@@ -33,7 +33,8 @@
     Ok,
     /// Reads and watches of the configuration return 503.
     Down,
-    /// Reads and watches see the revision before the newest, or the only one.
+    /// Reads and watches see the revision before the newest, or the only one. A watch from the
+    /// newest revision therefore does not return at the next publication.
     Stale,
 }
 
--- a/standins/soak/src/check.rs
+++ b/standins/soak/src/check.rs
@@ -50,7 +50,7 @@
     TargetDisturbed(StartNumber),
     /// All targets are disturbed.
     AllTargetsDisturbed,
-    /// A balancer is disturbed: killed, or its connection to the store is.
+    /// A balancer is disturbed: it was killed, or its connection to the store is disturbed.
     BalancerDisturbed(Ipv4Addr),
     /// The store is disturbed.
     StoreDisturbed,
--- a/standins/soak/tests/all/check.rs
+++ b/standins/soak/tests/all/check.rs
@@ -28,7 +28,8 @@
 
 /// Guards against passing a balancer that does not search for unknown flows. After a replacement of
 /// balancers, packets of open flows arrive at other balancers and never reach their targets, so
-/// that requests time out without a reset.
+/// that requests time out without a reset. Checking resets alone misses this, as does checking
+/// requests only in the calm at the end.
 #[test]
 fn an_open_flow_may_not_time_out_without_a_disturbance() {
     let other = Ipv4Addr::new(127, 1, 0, 2);
