--- a/crates/catalog/src/peers.rs
+++ b/crates/catalog/src/peers.rs
@@ -45,7 +45,8 @@
 /// sends about 1 KB/s, half of what the users allow for control traffic.
 pub(crate) const LARGE_FLEET_FANOUT: usize = 3;
 
-/// Number of balancers that read the store. Two, so that the death of one leaves no gap.
+/// Number of balancers that read the store. One would suffice; with two, the death of one leaves no
+/// gap.
 pub(crate) const READER_COUNT: usize = 2;
 
 /// Number of peer addresses in a head.
@@ -260,8 +261,8 @@
     /// Returns this balancer's rank among the [`READER_COUNT`] elected readers, 0 for the first, or
     /// `None` if it is not elected. Balancers that the store answers rank before the others;
     /// `store_reachable` says whether it answers this one. Every balancer computes the same ranks,
-    /// so the election needs no messages of its own; while tables differ, one reader more or fewer
-    /// may be elected.
+    /// so none has to appoint the readers; while tables differ, one reader more or fewer may be
+    /// elected.
     pub(crate) fn reader_rank(
         &self,
         store_reachable: bool,
--- a/crates/flows/src/agent.rs
+++ b/crates/flows/src/agent.rs
@@ -109,8 +109,9 @@
     /// The target returned a packet that is no longer needed: a reset of a flow that is gone, or a
     /// late copy of the first packet of a flow that has opened.
     FlowEnded,
-    /// The packet is a copy of a first packet, its flow is not known here, and the target's zone is
-    /// evacuated.
+    /// The flow is not known here, the offer carries no zones revision, and the target's zone is or
+    /// may be evacuated. The packet may be a copy of the first packet of an open flow, so it is not
+    /// answered with a reset.
     ZoneEvacuated,
     /// The target may be cold, so the packet is not delivered now: it is not known how much the
     /// target was given before this agent started, or the packet is a copy of an unanswered first
@@ -185,7 +186,8 @@
     open: u32,
     average_load: f32,
     average_updated: Moment,
-    /// When the first packet was delivered that is the oldest since the target's last packet.
+    /// When the oldest first packet since the target's last packet was delivered; `None` if there is
+    /// none.
     unanswered_since: Option<Moment>,
     /// Until when the target counts as not listening; [`Moment::ZERO`] after each packet of the
     /// target.
--- a/crates/flows/src/balancer.rs
+++ b/crates/flows/src/balancer.rs
@@ -143,7 +143,7 @@
     Lost,
     /// No configuration is known yet: decide again when there is one.
     Hold,
-    /// Discard the packet: there is no agent to send it to.
+    /// Discard the packet: there is no agent to send it to now.
     Drop,
 }
 
--- a/crates/flows/src/balancer/entry.rs
+++ b/crates/flows/src/balancer/entry.rs
@@ -122,8 +122,8 @@
     AllHolders,
     /// Holders that did not answer were queried again.
     Retried,
-    /// All holders reported the flow as absent, but the view may lack targets, so this proves
-    /// nothing.
+    /// All queried holders reported the flow as absent, which proves nothing, because the view may
+    /// lack targets or some possible holder must not be queried.
     Inconclusive,
     /// The flow has more possible holders than a single search may query.
     Abandoned,
--- a/crates/flows/src/balancer/relay.rs
+++ b/crates/flows/src/balancer/relay.rs
@@ -5,9 +5,10 @@
 //! must run at most once, nothing may be concluded from that. Without relays, filings wait for as
 //! long as the cut lasts.
 //!
-//! So a packet of an open flow at a silent agent is also sent through an agent of a third zone. A
-//! relay forwards the frame unchanged, and a relayed frame is never relayed again. Nothing is
-//! relayed while the agent is heard, and new flows go to agents that answer.
+//! So a packet of an open flow at a silent agent is also sent through an agent of a third zone, at
+//! the cost of one more hop: the relay forwards the frame unchanged, and a relayed frame is never
+//! relayed again. Nothing is relayed while the agent is heard, and new flows go to agents that
+//! answer.
 
 use std::time::Duration;
 
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -301,8 +301,8 @@
     /// targets. A search on its own takes 400 ms or more to detect this, and would do so again for
     /// each lost flow.
     ///
-    /// Once the store no longer lists the target, this silence proves that it is gone, and so does
-    /// an announced stop of its agent. While the target is listed, it counts as unreachable,
+    /// Once the store no longer lists the target, this silence, or an announced stop of its agent,
+    /// proves that the target is gone. While the target is listed, it counts as unreachable,
     /// provided that requests may be run again. Machines that never come back after a power loss
     /// stay listed for three heartbeats (3.6 s); without this, no flow was known to be lost until
     /// then, and 1.2 s of a fleet's requests on pooled flows failed.
--- a/crates/flows/src/frame.rs
+++ b/crates/flows/src/frame.rs
@@ -112,8 +112,8 @@
     pub warmup: Option<WarmupLimit>,
     /// For an offer, the store revision up to which the balancer knew the evacuated zones; at that
     /// revision neither the receiver's zone nor that of any agent in `rest` is evacuated. 0 if the
-    /// balancer makes no such statement: the packet is a copy of one that the receiver's target
-    /// answered.
+    /// balancer makes no such statement: it is cut off, or the packet is a copy of one that the
+    /// receiver's target answered.
     pub zones_revision: u64,
     /// Why the packet was sent to the receiver.
     pub purpose: FramePurpose,
--- a/crates/flows/src/load.rs
+++ b/crates/flows/src/load.rs
@@ -36,7 +36,7 @@
 /// trips, which include two probes of each agent.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Number of silent agents from which on a balancer considers itself isolated. A single one may be
+/// Minimum number of silent agents for a balancer to consider itself isolated. A single one may be
 /// dead; three at once are not, unless their machines fail together.
 const MIN_ISOLATION_AGENTS: usize = 3;
 
--- a/crates/flows/src/view/builder.rs
+++ b/crates/flows/src/view/builder.rs
@@ -247,7 +247,7 @@
             .min()
     }
 
-    /// Returns when the view next changes without an event.
+    /// Returns when the view next changes by the passage of time alone.
     #[must_use]
     pub fn next_change(&self, now: Moment) -> Option<Moment> {
         let coverage = self.coverage.next_change(now);
--- a/crates/flows/src/view/coverage.rs
+++ b/crates/flows/src/view/coverage.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Returns when the coverage may next change without an event.
+    /// Returns when the coverage may next change by the passage of time alone.
     pub(super) fn next_change(&self, now: Moment) -> Option<Moment> {
         let failure = self.last_failure.map(|at| at + STORE_FAILURE_WINDOW);
         let recovery = self.recovered_at.map(|at| at + RECOVERY_WINDOW);
