--- a/crates/flows/tests/all/support.rs
+++ b/crates/flows/tests/all/support.rs
@@ -80,7 +80,8 @@
     }
 }
 
-/// A catalog with one route to `claims`, and `targets`, whose services all count as unrouted ones.
+/// A catalog with one route to `claims` and these targets; its configuration lists all their
+/// services.
 pub(crate) fn catalog(targets: Vec<PublishedTarget>) -> Catalog {
     let services = targets.iter().map(|target| target.service.clone());
     let mut unrouted: Vec<_> = services.collect();
