--- a/tests/matrix/src/configuration.rs
+++ b/tests/matrix/src/configuration.rs
@@ -47,11 +47,11 @@
     PlatformDown,
     /// The platform responds with the first revision, and a third of the members resync.
     PlatformStale,
-    /// 30 % of the datagrams are lost.
+    /// 30% of the datagrams are lost.
     LostFrames,
-    /// 90 % of the datagrams are duplicated.
+    /// 90% of the datagrams are duplicated.
     DuplicatedFrames,
-    /// 70 % of the datagrams are delayed by up to one second.
+    /// 70% of the datagrams are delayed by up to one second.
     DelayedFrames,
     /// A zone is partitioned from all others and from the platform.
     ZonePartitioned,
@@ -356,7 +356,7 @@
     }
 }
 
-/// Whether a view equals the text published as its revision and that text is valid.
+/// Whether a view has the content of the text published as its revision, and that text is valid.
 fn is_as_published(view: &FleetView, texts: &[String]) -> bool {
     let number = usize::try_from(view.revision().0).unwrap_or(0);
     let Some(published) = number.checked_sub(1).and_then(|at| texts.get(at)) else {
--- a/tests/matrix/src/flows/fault.rs
+++ b/tests/matrix/src/flows/fault.rs
@@ -266,7 +266,8 @@
         }
     }
 
-    /// Marks a silent agent as gone, if it is still suspected.
+    /// Marks a silent agent as gone. An agent counts as gone only after a long suspicion, or when
+    /// it is no longer listed.
     pub(crate) fn mark_gone(&mut self, agent: AgentAddress) {
         let suspected = self.fleet.standing(agent) == Some(TargetStanding::Suspected);
         let stopped = self.running_agent(agent).is_none();
--- a/tests/matrix/src/flows/world.rs
+++ b/tests/matrix/src/flows/world.rs
@@ -314,7 +314,8 @@
         }
     }
 
-    /// Returns the agent that holds flow 0, or the last one that accepted a packet of it.
+    /// Returns the agent that holds flow 0; before it has a holder, the last agent that accepted a
+    /// packet of it, or else agent 0.
     pub(crate) fn holder(&self) -> AgentAddress {
         let holder = self.callers.first().and_then(|caller| caller.holder);
         let fallback = self
--- a/tests/matrix/src/guarantee.rs
+++ b/tests/matrix/src/guarantee.rs
@@ -100,8 +100,8 @@
 
 /// Counts flows whose holder had ended and whose caller received no reset.
 ///
-/// An agent that crashes after it announced that it is leaving is not suspected, so its flows end by
-/// their idle timeout; see [`MatrixHistory::timeouts_after_leaving`].
+/// An agent that crashes after it announced that it is leaving is not suspected, so its flows end
+/// by their idle timeout; see [`MatrixHistory::timeouts_after_leaving`].
 fn dead_flow_silent(history: &MatrixHistory) -> usize {
     let all = count_ends(history, false, |holder_ended| holder_ended);
     all - history.timeouts_after_leaving()
@@ -198,7 +198,7 @@
     late.sum()
 }
 
-/// Counts requests that were started more than once: a response that does not prove "not run" was
+/// Counts requests that were started more than once: an event that does not prove "not run" was
 /// treated as proof, and the request was sent again.
 fn ran_again(history: &MatrixHistory) -> usize {
     let mut starts: HashMap<&str, usize> = HashMap::new();
--- a/tests/matrix/src/history.rs
+++ b/tests/matrix/src/history.rs
@@ -60,7 +60,8 @@
     },
     /// The service address moved to another service.
     AddressMoved,
-    /// A view is wrong about a running agent: a balancer considers it gone, or its peers suspect it.
+    /// A view is wrong about a running agent: a balancer considers it gone, or its peers suspect
+    /// it.
     WrongView {
         /// The running agent.
         agent: AgentAddress,
@@ -88,7 +89,7 @@
         start: u64,
         /// The revision now in force.
         revision: u64,
-        /// Whether its content equals the published text and that text is valid.
+        /// Whether its content is that of the published text and that text is valid.
         valid: bool,
     },
     /// The time within which every reachable node must apply the newest revision has elapsed.
--- a/tests/matrix/src/leaving.rs
+++ b/tests/matrix/src/leaving.rs
@@ -1,5 +1,5 @@
-//! Leaving: no new work reaches an instance later than 3 s after its first announcement, even if the
-//! list still names it.
+//! Leaving: no new work reaches an instance later than 3 s after its first announcement, even if
+//! the list still names it.
 //!
 //! From shortly before that limit, every 200 ms each balancer opens flows and each agent of the
 //! service places a request, using the view and the reports of its own member. The leaving agent
@@ -44,11 +44,11 @@
 /// A fault while an instance leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeavingFault {
-    /// 50 % of the datagrams are lost.
+    /// 50% of the datagrams are lost.
     LostFrames,
-    /// 90 % of the datagrams are duplicated.
+    /// 90% of the datagrams are duplicated.
     DuplicatedFrames,
-    /// 70 % of the datagrams are delayed by up to one second.
+    /// 70% of the datagrams are delayed by up to one second.
     DelayedFrames,
     /// A balancer is paused and resumes with its old view.
     BalancerPaused,
--- a/tests/matrix/src/lib.rs
+++ b/tests/matrix/src/lib.rs
@@ -10,7 +10,8 @@
 //!
 //! The fakes replace what the binaries add around the decision logic: sockets, timers and the state
 //! of work in flight. They make no decision that a production library makes. Each mechanism that
-//! upholds a guarantee can be disabled, to verify that the check of that guarantee fails without it.
+//! upholds a guarantee can be disabled, to verify that the check of that guarantee fails without
+//! it.
 
 pub mod configuration;
 pub mod flows;
--- a/tests/matrix/src/opaque/client.rs
+++ b/tests/matrix/src/opaque/client.rs
@@ -309,7 +309,8 @@
         Self::opening_packet_for(self.flow(), copy)
     }
 
-    /// Returns the first packet of a flow; `copy` is 0 for the original and distinguishes its copies.
+    /// Returns the first packet of a flow; `copy` is 0 for the original and distinguishes its
+    /// copies.
     pub(crate) fn opening_packet_for(flow: FlowKey, copy: u32) -> Packet {
         let head = FlowPacket {
             flow,
--- a/tests/matrix/src/opaque/history.rs
+++ b/tests/matrix/src/opaque/history.rs
@@ -11,7 +11,8 @@
 /// How long the packets of an open flow may be delivered only to targets that do not hold it.
 const STRAY_WINDOW: Duration = Duration::from_secs(2);
 
-/// Number of such packets in sequence that counts as a violation.
+/// Number of such packets, over at least [`STRAY_WINDOW`], from which on the flow counts as
+/// strayed.
 const STRAY_PACKET_THRESHOLD: usize = 3;
 
 /// How long after its announcement a leaving target may still accept a flow.
@@ -35,7 +36,7 @@
         service: ServiceId,
         /// Whether any configuration of the run routed the flow's address to the service.
         allowed: bool,
-        /// Whether its zone had been evacuated for longer than every process needs to learn of it.
+        /// Whether its zone had been evacuated for longer than any process needs to learn of it.
         evacuated: bool,
     },
     /// A flow completed its opening at a target.
@@ -56,7 +57,8 @@
     ResetOpen {
         /// The flow.
         flow: FlowKey,
-        /// Whether the flow's target and agent ran and could be reached, so that the reset was wrong.
+        /// Whether the flow's target and agent ran and could be reached, so that the reset was
+        /// wrong.
         reachable: bool,
     },
     /// The system reset a flow before it was open.
@@ -69,7 +71,7 @@
         /// The target.
         target: TargetStart,
     },
-    /// A target ended, which lost its flows.
+    /// A target ended and lost its flows.
     Ended {
         /// The target.
         target: TargetStart,
@@ -287,8 +289,8 @@
     ran
 }
 
-/// Counts non-idempotent requests that ran more than once. Clients retry them only if the flow never
-/// opened.
+/// Counts non-idempotent requests that ran more than once. Clients retry them only if the flow
+/// never opened.
 fn ran_twice(history: &OpaqueHistory) -> usize {
     let mut runs: HashMap<u64, usize> = HashMap::new();
     for (_, event) in &history.events {
--- a/tests/matrix/src/opaque/mod.rs
+++ b/tests/matrix/src/opaque/mod.rs
@@ -1,5 +1,5 @@
-//! Flows of opaque packets: whatever process restarts, joins, leaves or has a stale view, the packets
-//! of an open flow reach the target that holds it, and lost flows are reset.
+//! Flows of opaque packets: whatever process restarts, joins, leaves or has a stale view, the
+//! packets of an open flow reach the target that holds it, and lost flows are reset.
 //!
 //! ```text
 //! client --packet--> router --hash--> balancer --frame--> agent --> target
@@ -29,12 +29,12 @@
 pub enum OpaqueFault {
     /// A third of the datagrams are lost.
     Drop,
-    /// 80 % of the datagrams are duplicated.
+    /// 80% of the datagrams are duplicated.
     Duplicate,
     /// Datagrams are reordered, with delays of up to 60 ms.
     Reorder,
-    /// Datagrams are delayed by up to 900 ms, so that copies of a first packet arrive after the flow
-    /// has opened.
+    /// Datagrams are delayed by up to 900 ms, so that copies of a first packet arrive after the
+    /// flow has opened.
     Delay,
     /// A balancer is killed and restarts without state.
     BalancerKilled,
@@ -80,7 +80,7 @@
     RouteRemoved,
     /// The flow's target crashes while its agent runs, and restarts under the same name.
     TargetCrashed,
-    /// The flow's target and its agent crash, and the target restarts under the same name.
+    /// The flow's target and its agent crash and restart together, the target under the same name.
     MachineCrashed,
     /// The entry of the flow's target is temporarily unreadable.
     EntryUnreadable,
@@ -89,8 +89,8 @@
     ForeignEntries,
     /// The operator evacuates the zone of the flow's target and later restores it.
     ZoneEvacuated,
-    /// The zones of the flow's target and of a balancer cannot reach each other; a third zone reaches
-    /// both.
+    /// The zones of the flow's target and of a balancer cannot reach each other; a third zone
+    /// reaches both.
     ZonePairPartitioned,
 }
 
@@ -159,14 +159,14 @@
 /// The mechanisms that uphold the guarantees; each can be disabled.
 #[derive(Clone, Copy, Debug)]
 pub struct OpaqueMechanisms {
-    /// A balancer that does not know a flow queries all agents that may hold it instead of placing it
-    /// again.
+    /// A balancer that does not know a flow queries all agents that may hold it instead of placing
+    /// it again.
     pub search: bool,
     /// A restarted agent delivers packets of unknown flows to its target.
     pub trial_delivery: bool,
     /// Agents refuse frames for another service.
     pub service_check: bool,
-    /// An agent forwards packets whose acknowledgement number does not match its target.
+    /// An agent whose target does not match the acknowledgement number of a packet forwards it.
     pub acknowledgement_check: bool,
     /// Leaving targets get no new flows.
     pub leaving: bool,
--- a/tests/matrix/src/opaque/process.rs
+++ b/tests/matrix/src/opaque/process.rs
@@ -1,5 +1,5 @@
-//! Simulated processes around the production decision logic: a balancer, and a machine with an agent
-//! and its target.
+//! Simulated processes around the production decision logic: a balancer, and a machine with an
+//! agent and its target.
 
 use std::time::Duration;
 
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Restarts the agent without state; `started_with_target` says whether its target starts with it.
+    /// Restarts the agent without state; `started_with_target` says whether its target starts with
+    /// it.
     pub(crate) fn restart_agent(&mut self, started_with_target: bool, now: Moment) {
         self.logic = new_agent(self.agent, self.target.service, started_with_target, now);
         self.running = true;
--- a/tests/matrix/src/opaque/world.rs
+++ b/tests/matrix/src/opaque/world.rs
@@ -38,8 +38,8 @@
 /// Number of requests that a client sends.
 const REQUESTS_PER_CLIENT: u64 = 70;
 
-/// Time after the last disturbance within which the system must have recovered. The slowest recovery
-/// is learning from an expired entry that the target of a filing is gone.
+/// Time after the last disturbance within which the system must have recovered. The slowest
+/// recovery is learning from an expired entry that the target of a filing is gone.
 const RECOVERY_WINDOW: Duration = Duration::from_millis(1_500);
 
 /// Jitter above which the network counts as disturbed.
@@ -302,8 +302,8 @@
         zones
     }
 
-    /// Whether a zone has been evacuated, and every balancer has followed the store, for longer than
-    /// [`EVACUATION_GRACE`].
+    /// Whether a zone has been evacuated, and every balancer has followed the store, for longer
+    /// than [`EVACUATION_GRACE`].
     fn is_evacuated(&self, zone: &str) -> bool {
         let now = self.now();
         let mut evacuated = self.evacuated.iter();
@@ -343,7 +343,7 @@
 
     /// Schedules a refresh of every balancer's view, each after a random delay. In a large fleet a
     /// pending refresh covers later changes too: building a view per change took minutes with
-    /// thousands of machines.
+    /// thousands of targets.
     pub(crate) fn publish(&mut self) {
         self.record_allowed();
         self.views_due.resize(self.balancers.len(), false);
@@ -500,8 +500,8 @@
         }
     }
 
-    /// Sends the queries of a search. With searches disabled, only one agent is queried, the same in
-    /// every phase.
+    /// Sends the queries of a search. With searches disabled, only one agent is queried, the same
+    /// in every phase.
     fn search(&mut self, number: usize, frames: SearchFrames, packet: Packet) {
         for (to, mut frame) in frames {
             if !self.mechanisms.search {
@@ -536,8 +536,8 @@
         }
     }
 
-    /// Returns the machine at an address if its agent runs. Machines are numbered from 1 in the order
-    /// of their addresses.
+    /// Returns the machine at an address if its agent runs. Machines are numbered from 1 in the
+    /// order of their addresses.
     pub(crate) fn machine_at(&self, agent: AgentAddress) -> Option<usize> {
         let [_, _, high, low] = agent.0.ip().octets();
         let number = usize::from(u16::from_be_bytes([high, low]));
@@ -783,7 +783,7 @@
         }
     }
 
-    /// Whether a flow's target runs and has not been disturbed within [`DISTURBANCE_GRACE`].
+    /// Whether a target holds the flow and could be reached throughout [`DISTURBANCE_GRACE`].
     fn is_reachable(&self, flow: &FlowKey) -> bool {
         let holder = self.machines.iter().find(|one| one.target.holds(flow));
         holder.is_some_and(|machine| {
@@ -933,8 +933,8 @@
         }
     }
 
-    /// Records the disturbed targets. All count as disturbed while the network loses or delays packets,
-    /// so that consequences of lost packets are not counted as violations.
+    /// Records the disturbed targets. All count as disturbed while the network loses or delays
+    /// packets, so that consequences of lost packets are not counted as violations.
     fn record_disturbances(&mut self) {
         let now = self.now();
         let lossy = self.network.drop > 0.0 || self.network.jitter_ms > DISTURBING_JITTER_MS;
--- a/tests/matrix/src/requests/mod.rs
+++ b/tests/matrix/src/requests/mod.rs
@@ -197,7 +197,8 @@
     pub ledger: bool,
     /// A ledger is closed before it is handed over.
     pub close_before_handover: bool,
-    /// A filing whose ticket the holder cannot decrypt ends with an unknown outcome.
+    /// A filing whose ticket is sealed with a key generation that the holder lacks ends with an
+    /// unknown outcome.
     pub unreadable_is_unknown: bool,
 }
 
--- a/tests/matrix/tests/all/leaving.rs
+++ b/tests/matrix/tests/all/leaving.rs
@@ -10,7 +10,7 @@
 const DISABLED_SEEDS: u64 = 4;
 
 // Guards against new flows or requests on a leaving instance, because a stale view or report is
-// trusted. One fault is injected before, at or after the instance's first notice; the list of
+// trusted. One fault is injected before, at or after the instance's first announcement; the list of
 // instances contains it until the end.
 #[test]
 fn every_fault_at_every_step() {
@@ -31,9 +31,9 @@
     report.assert_no_violations();
 }
 
-// Guards against checks that cannot fail: mechanisms are disabled while a balancer sleeps through
-// the first notice or nothing from the leaving agent's zone is received. Where the notice did not
-// arrive, forwarding is necessary and sufficient.
+// Guards against checks that cannot fail: mechanisms are disabled while a balancer is paused during
+// the first announcement or nothing from the leaving agent's zone is received. Where the
+// announcement did not arrive, forwarding is necessary and sufficient.
 #[test]
 fn each_disabled_mechanism_is_detected() {
     let on = LeavingMechanisms::default();
@@ -41,14 +41,14 @@
         forward: false,
         ..on
     };
-    let no_notice = LeavingMechanisms {
+    let no_announcement = LeavingMechanisms {
         announcement: false,
         ..no_forwarding
     };
     let no_gate = LeavingMechanisms { gate: false, ..on };
     let cases = [
         ("forwarding of flows", no_forwarding),
-        ("forwarding and the first notice", no_notice),
+        ("forwarding and the first announcement", no_announcement),
         ("refusal of a leaving gate", no_gate),
     ];
     let faults = [
--- a/tests/matrix/tests/all/opaque.rs
+++ b/tests/matrix/tests/all/opaque.rs
@@ -102,7 +102,7 @@
 
 struct RegressionPlan {
     cause: &'static str,
-    strikes: [(OpaqueFault, OpaqueStep); 2],
+    faults: [(OpaqueFault, OpaqueStep); 2],
     seed: u64,
 }
 
@@ -114,7 +114,7 @@
     let cases = [
         RegressionPlan {
             cause: "a search among the new service of a moved route was treated as proof",
-            strikes: [
+            faults: [
                 (Fault::RouteMoved, Step::Response),
                 (Fault::BalancerStopped, Step::Request),
             ],
@@ -122,15 +122,15 @@
         },
         RegressionPlan {
             cause: "the same, after all balancers restarted",
-            strikes: [
+            faults: [
                 (Fault::AllBalancersKilled, Step::LaterRequest),
                 (Fault::RouteMoved, Step::Opening),
             ],
             seed: 253,
         },
         RegressionPlan {
-            cause: "a restarted balancer did not know of the store failure",
-            strikes: [
+            cause: "a new balancer did not know of the store failure",
+            faults: [
                 (Fault::EntriesExpired, Step::LaterRequest),
                 (Fault::RouterRehashed, Step::LaterRequest),
             ],
@@ -138,7 +138,7 @@
         },
         RegressionPlan {
             cause: "a late duplicate of a first packet was refused because its route was dropped",
-            strikes: [
+            faults: [
                 (Fault::RouteRemoved, Step::OpeningReply),
                 (Fault::Delay, Step::Opening),
             ],
@@ -146,7 +146,7 @@
         },
         RegressionPlan {
             cause: "a flow offered twice was assumed to be at the target that had responded",
-            strikes: [
+            faults: [
                 (Fault::TargetLeaving, Step::Opening),
                 (Fault::LinkCut, Step::OpeningReply),
             ],
@@ -155,7 +155,7 @@
     ];
     for case in cases {
         let plan = FaultPlan {
-            faults: case.strikes.to_vec(),
+            faults: case.faults.to_vec(),
             seed: case.seed,
         };
         let violations = run_opaque(&plan, OpaqueMechanisms::default()).violations();
--- a/tests/tests/all/certificates.rs
+++ b/tests/tests/all/certificates.rs
@@ -6,8 +6,8 @@
 
 use crate::launcher::LauncherRun;
 
-/// Guards against an authority and services with the same subject name. A client whose library looks
-/// up the issuer by name would refuse every flow because the certificate appears self-signed.
+/// Guards against an authority and services with the same subject name. A client whose library
+/// looks up the issuer by name would refuse every flow because the certificate appears self-signed.
 #[test]
 fn the_authority_has_a_distinct_subject_name() {
     let mut run = LauncherRun::start(&["desai", "--hold"]);
--- a/tests/tests/all/launcher.rs
+++ b/tests/tests/all/launcher.rs
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Waits for the end of the launcher, and kills it after the timeout so that the test cannot hang.
+    /// Waits for the end of the launcher, and kills it after the timeout so that the test cannot
+    /// hang.
     fn wait(&mut self, timeout: Duration) -> ExitStatus {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
--- a/tests/tests/all/operator.rs
+++ b/tests/tests/all/operator.rs
@@ -46,7 +46,8 @@
         .to_owned()
 }
 
-/// Whether the agent learns its peers' gates within 10 s. Their heartbeats report them every second.
+/// Whether the agent learns its peers' gates within 10 s. Their heartbeats report them every
+/// second.
 fn explains_peers(agent: &str) -> bool {
     (0..20).any(|_| {
         std::thread::sleep(Duration::from_millis(500));
--- a/tests/tests/all/soak.rs
+++ b/tests/tests/all/soak.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Guards against any violated guarantee, and against a process that ends by itself, under a plan of
-/// single and simultaneous faults. The findings name the cause.
+/// Guards against any violated guarantee, and against a process that ends by itself, under a plan
+/// of single and simultaneous faults drawn from a seed. The findings name the cause.
 #[test]
 fn a_short_soak_keeps_every_promise() {
     let case = SoakCase {
@@ -59,9 +59,9 @@
     case.run();
 }
 
-/// Guards against open flows that get no response for 2.5 s because a search that found no holder was
-/// kept and did not query a target that was listed later. Two balancers restart as planned and read a
-/// list with a malformed entry for the flows' target, which is valid again one second later.
+/// Guards against open flows that get no response for 2.5 s because a search that found no holder
+/// was kept and did not query a target that was listed later. Two balancers restart as planned and
+/// read a list with a malformed entry for the flows' target, which is valid again one second later.
 #[test]
 fn a_target_that_is_listed_late_keeps_its_flows() {
     let case = SoakCase {
@@ -74,9 +74,9 @@
     case.run();
 }
 
-/// Guards against any violated guarantee when, among other faults, targets crash and restart under the
-/// same name, with and without their agents, and entries of another writer appear and remain. The
-/// findings name the cause.
+/// Guards against any violated guarantee when, among other faults, targets crash and restart under
+/// the same name, with and without their agents, and entries of another writer appear and remain.
+/// The findings name the cause.
 #[test]
 fn reborn_targets_and_foreign_entries_break_no_promise() {
     let case = SoakCase {
@@ -90,8 +90,8 @@
 }
 
 /// Guards against new flows that reach a target after it announced that it is leaving. The target
-/// makes the announcement while its entry is unreadable, and the restored entry said that it is ready:
-/// the stand-in withdrew the announcement, which no real target does.
+/// makes the announcement while its entry is unreadable, and the restored entry said that it is
+/// ready: the stand-in withdrew the announcement, which no real target does.
 #[test]
 fn a_restored_entry_has_the_state_of_its_target() {
     let case = SoakCase {
@@ -104,9 +104,10 @@
     case.run();
 }
 
-/// Guards against a process that ends without a log line when SIGHUP announces a change of settings a
-/// few milliseconds after its start, and that stays down until it is restarted. SIGHUP ends a process
-/// until it watches its settings, which takes 2 to 5 ms on a busy machine and longer on a slow one.
+/// Guards against a process that ends without a log line when SIGHUP announces a change of settings
+/// a few milliseconds after its start, and that stays down until it is restarted. SIGHUP ends a
+/// process until it watches its settings, which takes 2 to 5 ms on a busy machine and longer on a
+/// slow one.
 #[test]
 fn a_process_that_is_starting_outlives_a_change_of_settings() {
     let case = SoakCase {
@@ -133,8 +134,8 @@
     case.run();
 }
 
-/// Guards against a starting process that ends because of a change of settings although its supervisor
-/// starts it with SIGHUP ignored.
+/// Guards against a starting process that ends because of a change of settings although its
+/// supervisor starts it with SIGHUP ignored.
 #[test]
 fn a_process_that_starts_with_sighup_ignored_survives_a_change_of_settings() {
     let case = SoakCase {
@@ -147,8 +148,8 @@
     case.run();
 }
 
-/// Guards against resets of open flows whose agents restart for longer than the silence timeout, by
-/// balancers that did not learn that the agents stop.
+/// Guards against resets of open flows whose agents are away for longer than the silence timeout
+/// during a planned restart, by balancers that did not learn that the agents stop.
 #[test]
 fn a_long_planned_restart_resets_no_open_flow() {
     let cases = [
--- a/tests/tests/all/starting.rs
+++ b/tests/tests/all/starting.rs
@@ -110,8 +110,8 @@
 }
 
 /// Guards against a process that ends without a log line when the operator changes its settings and
-/// sends SIGHUP while it reads them. The process handled the signal only once it watched its settings;
-/// before, the signal ended it. A change between reading and watching was never noticed.
+/// sends SIGHUP while it reads them. The process handled the signal only once it watched its
+/// settings; before, the signal ended it. A change between reading and watching was never noticed.
 #[test]
 fn a_change_of_settings_that_are_being_read_is_survived_and_applied() {
     for case in CASES {
--- a/tests/tests/all/stopping.rs
+++ b/tests/tests/all/stopping.rs
@@ -4,8 +4,8 @@
 
 use crate::launcher::{LauncherRun, STARTUP_TIMEOUT};
 
-/// Guards against processes that keep running and hold their ports after Ctrl-C, because the launcher
-/// ends on a signal without stopping the processes that it started.
+/// Guards against processes that keep running and hold their ports after Ctrl-C, because the
+/// launcher ends on a signal without stopping the processes that it started.
 #[test]
 fn a_held_deployment_reports_its_addresses_and_stops_cleanly() {
     for signal in [libc::SIGINT, libc::SIGTERM] {
